--- a/linkdock/decisions/dispatch.py
+++ b/linkdock/decisions/dispatch.py
@@ -32,14 +32,17 @@
         dest.waiting[m.id] = m
         self.hot[m.dest] = dest
 
+    def waiting(self) -> list[Msg]:
+        return [m for dest in self.hot.values() for m in dest.waiting.values()]
+
     def unwait(self, m: Msg, dest: Dest) -> None:
         if dest.waiting.pop(m.id, None) is not None and not dest.waiting:
             del self.hot[m.dest]
 
     def give_up_at(self, m: Msg) -> float:
         """The last moment at which a usual call still fits, or the window of a keyed message closes."""
-        usual = min((self.call_time(k.route, m.cls) for k in self.dests[m.dest].links if k.ready),
-                    default=self.usual[m.cls].x)
+        times = (self.call_time(k.route, m.cls) for k in self.dests[m.dest].links if k.ready)
+        usual = min(times, default=self.usual[m.cls].x)
         at = m.deadline - max(usual, 2 * self.s.tick)
         bound = m.doubt is not None and m.rules.effect is Effect.KEYED
         return min(at, m.doubt + m.rules.window - 2 * self.s.tick) if bound else at
@@ -48,7 +51,7 @@
         """Answer what can no longer make it, at once; a full store gives up what is worth least."""
         if self.now >= self.sweep_at:
             self.sweep_at = inf
-            for m in [m for dest in self.hot.values() for m in dest.waiting.values()]:
+            for m in self.waiting():
                 if (at := self.give_up_at(m)) <= self.now:
                     self.give_up(m)
                 else:
@@ -57,9 +60,8 @@
         if excess > 0:
             # A full store turns away the next whatever its worth; choose instead.
             at = {number: self.now + self.wait_for(dest) for number, dest in self.hot.items()}
-            ranked = [(self.worth(m, at[m.dest]), -m.id, m) for dest in self.hot.values()
-                      for m in dest.waiting.values() if self.refusable(m) and not self.trusted(m)]
-            for _, _, m in heapq.nsmallest(excess, ranked, key=lambda t: t[:2]):
+            spare = [m for m in self.waiting() if self.refusable(m) and not self.trusted(m)]
+            for m in heapq.nsmallest(excess, spare, key=lambda m: (self.worth(m, at[m.dest]), -m.id)):
                 self.give_up(m)
 
     def trusted(self, m: Msg) -> bool:
--- a/linkdock/decisions/health.py
+++ b/linkdock/decisions/health.py
@@ -83,8 +83,9 @@
                 stopped = link.down_at is not None and call.sent < link.down_at
                 unsafe = any(m.rules.effect is Effect.UNSAFE for m in call.msgs.values())
                 patience = LOST if unsafe else 1
-                if (stopped or unsafe and call.sent < link.passed) and (free <= 0 or not unsafe) and (
-                        self.now - call.sent > patience * self.slowest(call).p95()):
+                wanted = free <= 0 or not unsafe   # its slot, by another
+                hopeless = stopped or unsafe and call.sent < link.passed
+                if wanted and hopeless and self.now - call.sent > patience * self.slowest(call).p95():
                     self.cancel(call)
 
     def slowest(self, call: Call) -> Estimate:
@@ -170,8 +171,8 @@
             link.heard = self.now
             # Danger: at a high rate many calls are out when a limit is met, and reports are older than that.
             # Counted singly, one blow cuts the part to nothing for long. Hurts where others push on.
-            met = limited and (o.report.left < LEFT or 0 < o.wait <= self.s.tip_after and (
-                link.last_ok > self.now - JUST))
+            just = 0 < o.wait <= self.s.tip_after and link.last_ok > self.now - JUST
+            met = limited and (o.report.left < LEFT or just)
             if o.result is Result.FULL:
                 fresh = call.sent >= route.cut_at
                 route.cut_at, route.blow = (self.now, 1) if fresh else (route.cut_at, route.blow + 1)
--- a/linkdock/decisions/relay.py
+++ b/linkdock/decisions/relay.py
@@ -20,10 +20,8 @@
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         """Take in a whole batch, then one dispatch pass; nothing else makes actions."""
         self.now, self.acts, self.due, self.born = now, [], inf, min(self.born, now)
-        takers = {i.Hosts: self.on_hosts, i.Message: self.on_message, i.Outcome: self.on_outcome,
-                  i.Withdrawn: self.on_withdrawn, i.Probed: self.on_probed, i.TimerDue: self.on_timer}
-        for event in events:
-            takers.get(type(event), id)(event)   # of other events nothing is made
+        for event in events:   # `on_` and the name of its type; of other events nothing is made
+            getattr(self, f"on_{type(event).__name__.lower()}", id)(event)
         self.ask()
         self.check_silence()
         self.reclaim()
@@ -136,7 +134,7 @@
             self.ask_at = self.now + 1.5 * ASK_MOST * self.s.ask_within   # its reply may never come
         self.due = min(self.due, self.ask_at)
 
-    def on_timer(self, event: i.TimerDue) -> None:
+    def on_timerdue(self, event: i.TimerDue) -> None:
         self.timer_at = inf if event.token == self.timer else self.timer_at
 
     def on_message(self, e: i.Message) -> None:
