--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 
 lint: build
 	.venv/bin/ruff check .
+	.venv/bin/ruff format --check .
 
 run: build
 	@if [ -n "$$RELAY_CONFIG" ]; then exec $(PYTHON) -m linkdock; \
--- a/linkdock/admission/budget.py
+++ b/linkdock/admission/budget.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-REST = 16           # descriptors that the rest may need at least
-RESERVE = 4         # kept free: for a file that is read, a socket that is made anew
-FLOOR = 1 / 3       # of what is left, for each of the two
-LEAK = 16           # descriptors beyond the rest's usual from which somebody does not give his back
-SETTLE = 30.0       # seconds after the start in which the rest's usual is learned
+REST = 16  # descriptors that the rest may need at least
+RESERVE = 4  # kept free: for a file that is read, a socket that is made anew
+FLOOR = 1 / 3  # of what is left, for each of the two
+LEAK = 16  # descriptors beyond the rest's usual from which somebody does not give his back
+SETTLE = 30.0  # seconds after the start in which the rest's usual is learned
 
 
 class Held(NamedTuple):
@@ -22,8 +22,8 @@
 
     clients: int
     servers: int
-    measured: int      # by the whole process
-    limit: int         # of the system for this process, or of its configuration if that is less
+    measured: int  # by the whole process
+    limit: int  # of the system for this process, or of its configuration if that is less
 
 
 class Parts(NamedTuple):
@@ -40,7 +40,7 @@
     most_clients: int
     usual_rest: int = 0
     since: float | None = None
-    leaked: int = 0     # held by nobody that is known
+    leaked: int = 0  # held by nobody that is known
 
     def share(self, now: float, held: Held) -> Parts:
         """Called now and then, and when the system has had none."""
--- a/linkdock/admission/clients.py
+++ b/linkdock/admission/clients.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-MEASURE_S = 0.5   # seconds between two looks at what the process holds
+MEASURE_S = 0.5  # seconds between two looks at what the process holds
 
 
 def descriptors() -> int | None:
@@ -32,8 +32,9 @@
 class Clients:
     """Owner of the gate and its file. A file that cannot be read or written costs one log line, and nothing else."""
 
-    def __init__(self, text: bytes, most: int, sockets: int, folder: Path, wheel: Wheel,
-                 overloaded: Callable[[], bool]) -> None:
+    def __init__(
+        self, text: bytes, most: int, sockets: int, folder: Path, wheel: Wheel, overloaded: Callable[[], bool]
+    ) -> None:
         settings = read(text, most)
         self._budget, self._sockets, self._most = Budget(most), sockets, most
         self._told_leak = False
@@ -46,17 +47,22 @@
 
     def watch(self, held: Callable[[], tuple[int, int]], apply: Callable[[Parts], None]) -> None:
         """From now on: measure what is held (clients, servers), and say what each may hold."""
+
         def look() -> None:
             self._wheel.after(MEASURE_S, look)
             clients, servers = held()
             measured = descriptors()
             limit = min(self._sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
             # Without a descriptor for the look all are held.
-            apply(self._budget.share(self._wheel.now, Held(clients, servers, limit if measured is None else measured,
-                                                           limit)))
+            apply(
+                self._budget.share(
+                    self._wheel.now, Held(clients, servers, limit if measured is None else measured, limit)
+                )
+            )
             if self._budget.leaked and not self._told_leak:
                 log.error("%d descriptors are held that nobody accounts for", self._budget.leaked)
             self._told_leak = self._budget.leaked > 0
+
         look()
 
     def _load(self) -> None:
--- a/linkdock/admission/conduct.py
+++ b/linkdock/admission/conduct.py
@@ -17,10 +17,10 @@
 from math import exp
 
 KNOWN, NEW, BAD = "known", "new", "bad"
-ROWS, COLUMNS = 4, 2048    # of the sketch
-HALVE_S = 60.0             # seconds after which the sketch counts half
-USEFUL_PART = 0.2          # of what an address does that must be of use, or it is not known
-BAD_FROM = 8.0             # useless connections beyond which an address without use is bad
+ROWS, COLUMNS = 4, 2048  # of the sketch
+HALVE_S = 60.0  # seconds after which the sketch counts half
+USEFUL_PART = 0.2  # of what an address does that must be of use, or it is not known
+BAD_FROM = 8.0  # useless connections beyond which an address without use is bad
 
 
 def key_of(address: str) -> str:
@@ -50,7 +50,7 @@
             self._at = now
         least = None
         for n, row in enumerate(self._rows):
-            at = hash((n, key)) % COLUMNS   # keyed by the interpreter's secret, so that collisions cannot be chosen
+            at = hash((n, key)) % COLUMNS  # keyed by the interpreter's secret, so that collisions cannot be chosen
             row[at] += weight
             least = row[at] if least is None else min(least, row[at])
         return least
@@ -71,7 +71,7 @@
 
     def __init__(self, most: int, known_after: float, memory_s: float) -> None:
         self._most, self._known_after, self._memory = most, known_after, memory_s
-        self._useful: OrderedDict[str, Entry] = OrderedDict()    # that ever had a message taken on, the last used last
+        self._useful: OrderedDict[str, Entry] = OrderedDict()  # that ever had a message taken on, the last used last
         self._useless: OrderedDict[str, Entry] = OrderedDict()
         self._sketch = Sketch()
 
--- a/linkdock/admission/gate.py
+++ b/linkdock/admission/gate.py
@@ -13,11 +13,11 @@
 from .conduct import BAD, KNOWN, Conduct, key_of
 from .settings import AdmissionSettings
 
-MOST_RATES = 4096     # addresses whose rate is kept; the one that came the longest ago goes first
-BAD_PART = 0.05       # of the rate, for an address that is bad
-NO_ROOM = 0.05        # seconds for which a search that found no room holds
-MOST_SPREAD = 2.0     # seconds that a return may be put off to spread it
-MOST_LAST = 32        # refusals that operators can read
+MOST_RATES = 4096  # addresses whose rate is kept; the one that came the longest ago goes first
+BAD_PART = 0.05  # of the rate, for an address that is bad
+NO_ROOM = 0.05  # seconds for which a search that found no room holds
+MOST_SPREAD = 2.0  # seconds that a return may be put off to spread it
+MOST_LAST = 32  # refusals that operators can read
 
 
 class Place(Protocol):
@@ -32,7 +32,7 @@
     __slots__ = ("_due",)
 
     def __init__(self) -> None:
-        self._due = 0.0   # when the next one is due if they came evenly
+        self._due = 0.0  # when the next one is due if they came evenly
 
     def pass_(self, now: float, rate: float, burst: float) -> bool:
         due = max(self._due, now)
@@ -54,10 +54,10 @@
         self._all = Gcra()
         self.live: Counter[str] = Counter()
         self._strangers = 0
-        self._stranger: dict[object, bool] = {}   # of those let in: whether it was one then
+        self._stranger: dict[object, bool] = {}  # of those let in: whether it was one then
         self._no_room_until = self._return_at = 0.0
         self.refused: Counter[str] = Counter()
-        self.last: OrderedDict[str, tuple[float, str]] = OrderedDict()   # addresses refused last: when and why
+        self.last: OrderedDict[str, tuple[float, str]] = OrderedDict()  # addresses refused last: when and why
 
     def hold_at_most(self, most: int) -> None:
         """There are so many places from now on."""
@@ -121,7 +121,7 @@
         strangers, others = [], []
         for place in places:
             (others if self._is_known(now, place) else strangers).append(place)
-        strangers.sort(key=lambda p: -self.live[key_of(p.address)])   # stable: else as the door has it
+        strangers.sort(key=lambda p: -self.live[key_of(p.address)])  # stable: else as the door has it
         return strangers + others if known else strangers
 
     def _is_known(self, now: float, place: Place) -> bool:
--- a/linkdock/admission/view.py
+++ b/linkdock/admission/view.py
@@ -11,7 +11,7 @@
 from ..state import statefile
 from .gate import Gate
 
-MOST_LIVE, VERSION = 256, 1   # addresses with connections that are told of
+MOST_LIVE, VERSION = 256, 1  # addresses with connections that are told of
 Whole = Annotated[int, msgspec.Meta(ge=0)]
 Positive = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
@@ -51,13 +51,20 @@
 def state(gate: Gate, now: float) -> State:
     conduct = gate.conduct
     return State(
-        version=VERSION, unix=round(time.time(), 3), strangers=gate.strangers,
+        version=VERSION,
+        unix=round(time.time(), 3),
+        strangers=gate.strangers,
         known=[Known(address=key, good=round(good, 3), bad=round(bad, 3)) for key, good, bad in conduct.known(now)],
-        live=[Live(address=key, connections=count, standing=conduct.standing(now, key))
-              for key, count in gate.live.most_common(MOST_LIVE)],
+        live=[
+            Live(address=key, connections=count, standing=conduct.standing(now, key))
+            for key, count in gate.live.most_common(MOST_LIVE)
+        ],
         refused=dict(gate.refused),
-        last=[Refused(address=key, ago_s=round(now - when, 3), why=why)
-              for key, (when, why) in reversed(gate.last.items())])
+        last=[
+            Refused(address=key, ago_s=round(now - when, 3), why=why)
+            for key, (when, why) in reversed(gate.last.items())
+        ],
+    )
 
 
 def read(path: Path) -> State:
@@ -68,8 +75,10 @@
 def table(told: State) -> list[str]:
     """Lines for a terminal."""
     here = sum(row.connections for row in told.live)
-    lines = [f"{here} connections, {told.strangers} of strangers; {len(told.known)} addresses known; written "
-             f"{max(0.0, time.time() - told.unix):.0f} s ago"]
+    lines = [
+        f"{here} connections, {told.strangers} of strangers; {len(told.known)} addresses known; written "
+        f"{max(0.0, time.time() - told.unix):.0f} s ago"
+    ]
     lines += [f"  {row.address:<40} {row.connections:>6}  {row.standing}" for row in told.live]
     lines += [f"refused {count} x {why}" for why, count in told.refused.items()]
     lines += [f"  {row.address:<40} {row.ago_s:>8.1f} s before: {row.why}" for row in told.last]
@@ -82,7 +91,7 @@
 
 def restore(gate: Gate, told: State, now: float) -> int:
     """Known addresses of an earlier life, faded by the time since; how many."""
-    past = max(0.0, time.time() - told.unix)   # Danger: a clock that was set back
+    past = max(0.0, time.time() - told.unix)  # Danger: a clock that was set back
     for row in told.known:
         gate.conduct.restore(now - past, row.address, row.good, row.bad)
     return len(told.known)
--- a/linkdock/cluster/disk.py
+++ b/linkdock/cluster/disk.py
@@ -13,9 +13,9 @@
 from .errors import ClusterError, Torn
 from .interface import Entry, Image, Vote
 
-HEAD = struct.Struct("<III")   # bytes of the body, its crc32, crc32 of the eight bytes before
+HEAD = struct.Struct("<III")  # bytes of the body, its crc32, crc32 of the eight bytes before
 SECTOR = 512
-LEAST_TAIL = 16                # zeros at a file's end that count as never written
+LEAST_TAIL = 16  # zeros at a file's end that count as never written
 VERSION = 1
 _BAD = (msgspec.MsgspecError, ValueError, RecursionError)
 
@@ -126,7 +126,7 @@
 def _never_written(data: bytes, at: int) -> bool:
     """Whether a sector of the last record, or the end of its last one, is all zeros: data that never came."""
     for sector in range(at // SECTOR * SECTOR, len(data), SECTOR):
-        piece = data[max(sector, at):sector + SECTOR]
+        piece = data[max(sector, at) : sector + SECTOR]
         if not any(piece) and (len(piece) == SECTOR or sector + SECTOR >= len(data) and len(piece) >= LEAST_TAIL):
             return True
     return False
@@ -140,14 +140,14 @@
         if end <= len(data):
             size, body_sum, head_sum = HEAD.unpack_from(data, at)
             # Danger: a length that is damaged looks like a record cut off, and with it all that comes after.
-            if zlib.crc32(data[at:at + 8]) != head_sum:
+            if zlib.crc32(data[at : at + 8]) != head_sum:
                 if last and not any(data[at:]):
                     return records, at
                 raise Torn(f"{name}: the head of a record at byte {at} is damaged")
             end += size
-        if end <= len(data) and zlib.crc32(data[at + HEAD.size:end]) == body_sum:
+        if end <= len(data) and zlib.crc32(data[at + HEAD.size : end]) == body_sum:
             try:
-                records.append(_record.decode(data[at + HEAD.size:end]))
+                records.append(_record.decode(data[at + HEAD.size : end]))
             except _BAD as bad:
                 raise Torn(f"{name}: the record at byte {at}: {bad}") from None
             at = end
--- a/linkdock/cluster/engine.py
+++ b/linkdock/cluster/engine.py
@@ -21,10 +21,10 @@
 
 log = logging.getLogger(__name__)
 
-APPLY = 64          # entries that are applied before others in the loop have their turn
+APPLY = 64  # entries that are applied before others in the loop have their turn
 LONGEST_WAIT = 1.0  # seconds without a look at what is due
-EACH = 32           # bytes that an entry takes on disk besides its data, at the most
-CLOSE = 0.5         # seconds that a write which is under way may take at the end
+EACH = 32  # bytes that an entry takes on disk besides its data, at the most
+CLOSE = 0.5  # seconds that a write which is under way may take at the end
 
 Change = Callable[[int, Command | None, Answer | None], None]
 
@@ -54,8 +54,16 @@
     `changed` each change of the Config; none of them may wait.
     """
 
-    def __init__(self, me: str, storage: Storage, settings: LogSettings, drift: float, random: Random,
-                 loop: asyncio.AbstractEventLoop, send: Callable[[str, Message], None]) -> None:
+    def __init__(
+        self,
+        me: str,
+        storage: Storage,
+        settings: LogSettings,
+        drift: float,
+        random: Random,
+        loop: asyncio.AbstractEventLoop,
+        send: Callable[[str, Message], None],
+    ) -> None:
         """Raises ValueError or Torn where what the folder holds cannot be right."""
         self.me, self.storage, self._settings, self._random = me, storage, settings, random
         self._loop, self.clock, self._send = loop, loop.time, send
@@ -64,15 +72,15 @@
         self.changed: Callable[[], None] = lambda: None
         self.watchers: list[Change] = []
         self.state, self._leases = State(), LeaseClock(drift)
-        self.index = self._term = 0      # of the last entry applied
-        self.heard = float("-inf")       # when a leader was
+        self.index = self._term = 0  # of the last entry applied
+        self.heard = float("-inf")  # when a leader was
         self._known: tuple[str | None, int] = (None, -1)
         self._stirred = Alarm(loop)
         self._founding = False
-        self._unwritten = 0              # bytes of entries given to the machine that the folder does not count yet
+        self._unwritten = 0  # bytes of entries given to the machine that the folder does not count yet
         self.writes, self.longest_write = 0, 0.0
         self._begin(storage.stored)
-        storage.stored = Stored()   # the log holds it from now on
+        storage.stored = Stored()  # the log holds it from now on
         self._thread = ThreadPoolExecutor(1, "cluster-disk")
 
     def _begin(self, stored: Stored) -> None:
@@ -96,7 +104,7 @@
 
     def step(self, sender: str, message: Message) -> None:
         if self._founding:
-            return   # Danger: another's log taken in while its own is begun
+            return  # Danger: another's log taken in while its own is begun
         now = self.clock()
         if isinstance(message, Append) and message.entries:
             size = sum(len(entry.data) + EACH for entry in message.entries)
@@ -121,7 +129,7 @@
         await self._on_disk(self.storage.write, None, (), stored.image)
         self._begin(stored)
         self._founding = False
-        self.core.fire(self.clock())   # there is nobody else to wait for
+        self.core.fire(self.clock())  # there is nobody else to wait for
         log.info("%s has founded the log", self.me)
 
     async def _on_disk(self, work: Callable, *given: object) -> None:
@@ -216,7 +224,7 @@
         try:
             self.propose(request("", 0, expire))
         except (NotLeading, TooBusy):
-            pass   # the next leader gives the lease its whole time; or it is proposed again
+            pass  # the next leader gives the lease its whole time; or it is proposed again
 
     async def _compact(self) -> None:
         """Danger: the image is of what is applied now, and so must its Config be; the log may go on meanwhile."""
--- a/linkdock/cluster/fence.py
+++ b/linkdock/cluster/fence.py
@@ -13,8 +13,8 @@
 
 
 class _Seen(msgspec.Struct, array_like=True):
-    floor: int = 0                                  # the highest token that was forgotten to keep the bound
-    tokens: dict[str, tuple[int, str]] = {}         # of each resource: the highest token and its holder
+    floor: int = 0  # the highest token that was forgotten to keep the bound
+    tokens: dict[str, tuple[int, str]] = {}  # of each resource: the highest token and its holder
 
 
 class Fence:
@@ -24,8 +24,9 @@
     only: those of a cluster that was founded anew begin at 1 again, so its resources need a new place too.
     """
 
-    def __init__(self, load: Callable[[], bytes | None], save: Callable[[bytes], None],
-                 most: int = MOST_RESOURCES) -> None:
+    def __init__(
+        self, load: Callable[[], bytes | None], save: Callable[[bytes], None], most: int = MOST_RESOURCES
+    ) -> None:
         """Raises ValueError if what is kept cannot be read: nothing may then be done under any token."""
         self._save, self._most = save, most
         data = load()
--- a/linkdock/cluster/holding.py
+++ b/linkdock/cluster/holding.py
@@ -9,15 +9,21 @@
 from .leases import Acquire, Answer, Command, Done, Granted, Held, Lost, Release, Renew, Taken
 
 MOST_HELD = 256
-AGAIN = 10       # a renewal that got no answer is asked for anew after this part of the lease's time
+AGAIN = 10  # a renewal that got no answer is asked for anew after this part of the lease's time
 LEAST_PAUSE = 0.01
 
 
 class Holding:
     """Owner of what is held. A lease is renewed until it is released, lost, or its time is over unanswered."""
 
-    def __init__(self, me: str, drift: float, propose: Callable[[Command, float], Awaitable[Answer]],
-                 spawn: Callable[[Coroutine], asyncio.Task], clock: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        me: str,
+        drift: float,
+        propose: Callable[[Command, float], Awaitable[Answer]],
+        spawn: Callable[[Coroutine], asyncio.Task],
+        clock: Callable[[], float],
+    ) -> None:
         self._me, self._drift, self._propose, self._spawn, self._clock = me, drift, propose, spawn, clock
         self.held: dict[str, Held] = {}
         self._asking: set[str] = set()
@@ -31,7 +37,7 @@
             return Taken(self._me, self.held[name].token if name in self.held else 0)
         self._asking.add(name)
         try:
-            asked_at = self._clock()   # Danger: not when the answer comes; the leader may count from here
+            asked_at = self._clock()  # Danger: not when the answer comes; the leader may count from here
             answer = await self._propose(Acquire(name, self._me, int(ttl * 1000)), deadline)
         finally:
             self._asking.discard(name)
--- a/linkdock/cluster/interface.py
+++ b/linkdock/cluster/interface.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-MOST_FRAME = 1 << 20       # bytes of one frame between two processes, digest included
-MOST_DATAGRAM = 1400       # bytes of one datagram of the membership, digest included
-MOST_ENTRY = 64 << 10      # bytes of one entry's data
+MOST_FRAME = 1 << 20  # bytes of one frame between two processes, digest included
+MOST_DATAGRAM = 1400  # bytes of one datagram of the membership, digest included
+MOST_ENTRY = 64 << 10  # bytes of one entry's data
 
 
 class Peer(msgspec.Struct, frozen=True, array_like=True):
@@ -25,7 +25,7 @@
     region: str
     host: str
     port: int
-    version: int = 1   # of what it speaks; two versions at the most are ever in use
+    version: int = 1  # of what it speaks; two versions at the most are ever in use
 
 
 def name_of(peer_id: str) -> str:
@@ -38,9 +38,9 @@
 class Kind(IntEnum):
     """What an entry of the log is."""
 
-    EMPTY = 0     # a leader's first of its term
-    COMMAND = 1   # data is a command of the shared state
-    CONFIG = 2    # data is a Config, in MessagePack
+    EMPTY = 0  # a leader's first of its term
+    COMMAND = 1  # data is a command of the shared state
+    CONFIG = 2  # data is a Config, in MessagePack
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
@@ -95,7 +95,7 @@
 class AskVote(Message, frozen=True, array_like=True, tag="ask"):
     last_index: int
     last_term: int
-    handed_over: bool = False   # the leader itself asked for this election: its lease does not stand against it
+    handed_over: bool = False  # the leader itself asked for this election: its lease does not stand against it
 
 
 class Voted(Message, frozen=True, array_like=True, tag="voted"):
@@ -159,14 +159,14 @@
 
     vote: Vote = Vote()
     image: Image | None = None
-    entries: tuple[Entry, ...] = ()   # those after the image, without gaps
+    entries: tuple[Entry, ...] = ()  # those after the image, without gaps
 
 
 class Log(Protocol):
     """The machine of the replicated log (`log/core.py`): facts in, `Ready` out. `now` never goes back."""
 
     term: int
-    leader: str | None      # as far as it knows
+    leader: str | None  # as far as it knows
     leading: bool
     commit: int
 
@@ -175,14 +175,19 @@
     def step(self, now: float, sender: str, message: AnyMessage) -> None: ...
     def propose(self, now: float, data: bytes) -> tuple[int, int]:
         """(term, index) of the entry that it will be if it is committed. Raises NotLeading, TooBusy, TooLarge."""
+
     def change(self, now: float, config: Config) -> tuple[int, int]:
         """Like `propose`; one voter or learner more or less than the last. Raises ChangeOpen, BadChange too."""
+
     def may_read(self, now: float) -> bool:
         """Whether the state as applied up to `commit` is the newest: by the leader's lease, drift counted."""
+
     def hand_over(self, now: float, to: str | None = None) -> str | None:
         """Before leaving: no new proposals; the most caught-up voter is told to stand. Says whom, or None."""
+
     def compact(self, image: Image) -> None:
         """The caller has stored `image`; entries up to it are forgotten here (and on disk by the caller)."""
+
     def ready(self) -> Ready | None:
         """What is to be done, or None. Calling it again means that all of the last one has been done."""
 
@@ -192,6 +197,7 @@
 
     def apply(self, index: int, data: bytes) -> object:
         """The answer for the proposer. Bad data is an answer too (an error value), never a raise."""
+
     def image(self) -> bytes: ...
     def restore(self, data: bytes) -> None: ...
 
@@ -287,5 +293,6 @@
     def leave(self, now: float) -> list[Post | Heard]: ...
     def view(self) -> dict[str, Rumour]:
         """All known but those long gone, by id, this process among them."""
+
     def health(self) -> int:
         """0 is sound; more: this process itself answers or hears late (local health awareness)."""
--- a/linkdock/cluster/leases.py
+++ b/linkdock/cluster/leases.py
@@ -11,15 +11,15 @@
 
 from .interface import MOST_ENTRY
 
-MOST_NAME = 200            # bytes of a lease's name, a key, or who asks
+MOST_NAME = 200  # bytes of a lease's name, a key, or who asks
 MOST_LEASES = 4096
 MOST_KEYS = 4096
-MOST_VALUE = 16 << 10      # bytes of one value of the register
-MOST_REGISTER = 2 << 20    # bytes of all its keys and values
-MOST_ASKING = 512          # proposers whose answers are kept; those silent the longest go first
-MOST_ANSWERS = 32          # kept of each: it may ask no number so far beyond one that is open
-LEAST_TTL, MOST_TTL = 0.1, 3600.0   # seconds
-AGAIN = 1.0                # seconds until an Expire is proposed once more that nothing has come of
+MOST_VALUE = 16 << 10  # bytes of one value of the register
+MOST_REGISTER = 2 << 20  # bytes of all its keys and values
+MOST_ASKING = 512  # proposers whose answers are kept; those silent the longest go first
+MOST_ANSWERS = 32  # kept of each: it may ask no number so far beyond one that is open
+LEAST_TTL, MOST_TTL = 0.1, 3600.0  # seconds
+AGAIN = 1.0  # seconds until an Expire is proposed once more that nothing has come of
 OLD = "this request is older than the answers that are kept; it was not carried out now"
 
 _BAD = (msgspec.MsgspecError, ValueError, RecursionError)
@@ -122,7 +122,7 @@
     holder: str
     token: int
     ttl_ms: int
-    renewed: int   # index of the grant or of the last renewal
+    renewed: int  # index of the grant or of the last renewal
 
 
 class Value(msgspec.Struct, frozen=True, array_like=True):
@@ -179,7 +179,7 @@
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}
         self.register: dict[str, Value] = {}
-        self._asking: dict[str, Answers] = {}   # the one that asked last stands last
+        self._asking: dict[str, Answers] = {}  # the one that asked last stands last
         self._bytes = 0
 
     def apply(self, index: int, data: bytes) -> Answer:
@@ -330,7 +330,7 @@
 
     def renewed(self, asked_at: float) -> None:
         until = asked_at + self.ttl * (1 - self._drift)
-        if until > self.until:   # an answer that came late must not take back what a later one gave
+        if until > self.until:  # an answer that came late must not take back what a later one gave
             self.until, self.renew_at = until, asked_at + self.ttl / 3
 
     def holds(self, now: float) -> bool:
--- a/linkdock/cluster/links.py
+++ b/linkdock/cluster/links.py
@@ -25,18 +25,18 @@
 
 log = logging.getLogger(__name__)
 
-MOST_QUEUE = 256           # frames that wait for one peer; the oldest go first
-MOST_LINKS = 1024          # peers with an outgoing connection, or one being dialled
-MOST_ACCEPTED = 1024       # connections that others opened and that have shown the key
-MOST_STRANGERS = 64        # and that have not yet; the oldest is closed for a new one
-MOST_BATCH = 128 << 10     # bytes that are written at once, one frame at least
-CONNECT = 1.0              # seconds until a connection is there, and until it is greeted
-KEEP = 1.0                 # seconds between two Keeps on a connection
-SILENCE = 3.5              # seconds without a frame after which a connection is closed
-WRITE = 2.0                # seconds in which what was written must have left
-IDLE = 30.0                # seconds without a frame to send after which a connection is given up
+MOST_QUEUE = 256  # frames that wait for one peer; the oldest go first
+MOST_LINKS = 1024  # peers with an outgoing connection, or one being dialled
+MOST_ACCEPTED = 1024  # connections that others opened and that have shown the key
+MOST_STRANGERS = 64  # and that have not yet; the oldest is closed for a new one
+MOST_BATCH = 128 << 10  # bytes that are written at once, one frame at least
+CONNECT = 1.0  # seconds until a connection is there, and until it is greeted
+KEEP = 1.0  # seconds between two Keeps on a connection
+SILENCE = 3.5  # seconds without a frame after which a connection is closed
+WRITE = 2.0  # seconds in which what was written must have left
+IDLE = 30.0  # seconds without a frame to send after which a connection is given up
 FIRST_PAUSE, LONGEST_PAUSE = 0.05, 1.0
-FAIR = 16                  # frames of one connection that are read before others have their turn
+FAIR = 16  # frames of one connection that are read before others have their turn
 
 Where = Callable[[str], tuple[str, int] | None]
 
@@ -82,7 +82,7 @@
                 began = self._links.clock()
                 try:
                     await self._connection()
-                    return   # idle
+                    return  # idle
                 except (OSError, StreamClosedError, TimeoutError, gen.TimeoutError):
                     self._links.count["broken"] += 1
                 except Foreign as bad:
@@ -105,8 +105,9 @@
         links, where = self._links, self._links.where(self._peer)
         if where is None:
             return
-        stream = self.stream = await links.client.connect(*where, max_buffer_size=2 * MOST_FRAME,
-                                                          timeout=timedelta(seconds=CONNECT))
+        stream = self.stream = await links.client.connect(
+            *where, max_buffer_size=2 * MOST_FRAME, timeout=timedelta(seconds=CONNECT)
+        )
         stream.set_nodelay(True)
         session = links.seal.dial(self._peer)
         stream.write(session.hello())
@@ -136,7 +137,7 @@
         while True:
             now = links.clock()
             frames = []
-            if now - kept >= KEEP:   # the first frame too: before it the other side takes no large one
+            if now - kept >= KEEP:  # the first frame too: before it the other side takes no large one
                 frames, kept = [session.frame(Keep())], now
             size = 0
             while self.queue and size < MOST_BATCH:
@@ -195,16 +196,39 @@
     coroutine as a task of the owner's.
     """
 
-    def __init__(self, seal: Seal, sockets: tuple[socket.socket, socket.socket], where: Where,
-                 heard: Callable[[str, AnyFrame], None], packet: Callable[[AnyPacket], None],
-                 spawn: Callable[[Coroutine], asyncio.Task], clock: Callable[[], float], random: Random) -> None:
+    def __init__(
+        self,
+        seal: Seal,
+        sockets: tuple[socket.socket, socket.socket],
+        where: Where,
+        heard: Callable[[str, AnyFrame], None],
+        packet: Callable[[AnyPacket], None],
+        spawn: Callable[[Coroutine], asyncio.Task],
+        clock: Callable[[], float],
+        random: Random,
+    ) -> None:
         self.seal, self.where, self.spawn, self.clock, self.random = seal, where, spawn, clock, random
         self._heard, self._packet = heard, packet
         self._tcp, self._udp = sockets
         self.client, self.closed = TCPClient(), False
-        self.count = dict.fromkeys(("frames_in", "bytes_in", "frames_out", "bytes_out", "datagrams_in",
-                                    "datagram_bytes_in", "datagrams_out", "datagram_bytes_out", "foreign", "broken",
-                                    "dropped", "unreachable", "refused"), 0)
+        self.count = dict.fromkeys(
+            (
+                "frames_in",
+                "bytes_in",
+                "frames_out",
+                "bytes_out",
+                "datagrams_in",
+                "datagram_bytes_in",
+                "datagrams_out",
+                "datagram_bytes_out",
+                "foreign",
+                "broken",
+                "dropped",
+                "unreachable",
+                "refused",
+            ),
+            0,
+        )
         self._links: dict[str, _Link] = {}
         self._accepted: dict[_Accepted, None] = {}
         self._said, self._unsaid = float("-inf"), 0
@@ -215,7 +239,8 @@
         """Take what comes in from now on."""
         self._server.add_socket(self._tcp)
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: _Datagrams(self), sock=self._udp)
+            lambda: _Datagrams(self), sock=self._udp
+        )
 
     async def sweep(self) -> None:
         """Close what is late, until all is closed."""
@@ -299,7 +324,7 @@
                 self.count["bytes_in"] += LENGTH + len(data)
                 if not isinstance(message, Keep):
                     self._heard(one.session.peer, message)
-                elif not stream.writing():   # Danger: one who sends without reading would be written to without end
+                elif not stream.writing():  # Danger: one who sends without reading would be written to without end
                     stream.write(one.session.frame(message))
                 frames += 1
                 if frames % FAIR == 0:
@@ -318,7 +343,7 @@
             one.proven = True
             for other in list(self._accepted):
                 if other is not one and other.proven and other.session.peer == one.session.peer:
-                    other.stream.close()   # it has dialled anew
+                    other.stream.close()  # it has dialled anew
 
     # --- What is wrong.
 
--- a/linkdock/cluster/log/checks.py
+++ b/linkdock/cluster/log/checks.py
@@ -6,7 +6,7 @@
 from .entries import follow
 from .settings import LogSettings
 
-MOST_NUMBER = 1 << 53   # of a term, index or round: none is ever reached, so whatever is above was not counted up
+MOST_NUMBER = 1 << 53  # of a term, index or round: none is ever reached, so whatever is above was not counted up
 
 
 def sound(message: AnyMessage, settings: LogSettings) -> bool:
@@ -16,16 +16,24 @@
     if isinstance(message, PreVote | AskVote):
         return 0 <= message.last_term < message.term and 0 <= message.last_index < MOST_NUMBER
     if isinstance(message, Append):
-        return (0 <= message.prev_term <= message.term and 0 <= message.prev_index < MOST_NUMBER
-                and 0 <= message.commit < MOST_NUMBER and 0 <= message.round < MOST_NUMBER
-                and (message.prev_index > 0 or message.prev_term == 0)
-                and follow(message.entries, message.prev_index, message.prev_term, message.term))
+        return (
+            0 <= message.prev_term <= message.term
+            and 0 <= message.prev_index < MOST_NUMBER
+            and 0 <= message.commit < MOST_NUMBER
+            and 0 <= message.round < MOST_NUMBER
+            and (message.prev_index > 0 or message.prev_term == 0)
+            and follow(message.entries, message.prev_index, message.prev_term, message.term)
+        )
     if isinstance(message, Appended):
         return 0 <= message.index < MOST_NUMBER and 0 <= message.round < MOST_NUMBER
     if isinstance(message, Install):
-        return (0 <= message.image_term <= message.term and 0 < message.index < MOST_NUMBER
-                and 0 <= message.round < MOST_NUMBER and 0 < message.size <= settings.most_image
-                and 0 <= message.at <= message.size - len(message.piece))
+        return (
+            0 <= message.image_term <= message.term
+            and 0 < message.index < MOST_NUMBER
+            and 0 <= message.round < MOST_NUMBER
+            and 0 < message.size <= settings.most_image
+            and 0 <= message.at <= message.size - len(message.piece)
+        )
     return True
 
 
--- a/linkdock/cluster/log/core.py
+++ b/linkdock/cluster/log/core.py
@@ -23,8 +23,8 @@
 
 
 class Role(IntEnum):
-    FOLLOWER = 0    # a learner too
-    ASKING = 1      # asks whether it would be voted for; its term is as it was
+    FOLLOWER = 0  # a learner too
+    ASKING = 1  # asks whether it would be voted for; its term is as it was
     CANDIDATE = 2
     LEADER = 3
 
@@ -48,8 +48,8 @@
         self.term = max(stored.vote.term, self.log.last_term)
         self.voted = stored.vote.voted if stored.vote.term == self.term else ""
         self.role, self.leader, self.commit = Role.FOLLOWER, None, self.log.base
-        self.applied = self.log.base       # the last committed entry that was handed out
-        self._offered = self._stable = self.log.last   # handed out to be written; surely on disk
+        self.applied = self.log.base  # the last committed entry that was handed out
+        self._offered = self._stable = self.log.last  # handed out to be written; surely on disk
         self._vote_offered = stored.vote
         self._image_due: i.Image | None = None
         self._messages: list[tuple[str, i.AnyMessage]] = []
@@ -239,7 +239,7 @@
             self._send(sender, i.Appended(self.term, False, self.commit, 0))
             return
         if message.term == self.term and (self._lead or self.leader not in (None, sender)):
-            return   # two leaders of one term cannot be
+            return  # two leaders of one term cannot be
         self._follow(now, message.term, sender)
         self._refuse_until = now + self.settings.election
         self._rest(now)
@@ -253,7 +253,7 @@
         until = prev + len(entries)
         if prev < self.commit:
             # What is committed here is the leader's too, also where it is no longer held.
-            entries, prev = entries[self.commit - prev:], self.commit
+            entries, prev = entries[self.commit - prev :], self.commit
         elif self.log.term(prev) != message.prev_term:
             hint = max(self.commit, self.log.hint(prev, message.prev_term))
             self._send(sender, i.Appended(self.term, False, min(hint, prev - 1), message.round))
@@ -279,7 +279,7 @@
 
     def _on_install(self, sender: str, message: i.Install) -> None:
         if message.index > self.commit and self.log.term(message.index) == message.image_term:
-            self.commit = message.index   # all of it is here already
+            self.commit = message.index  # all of it is here already
         if message.index <= self.commit:
             self._incoming.clear()
             self._send(sender, i.Appended(self.term, True, self.commit, message.round))
--- a/linkdock/cluster/log/entries.py
+++ b/linkdock/cluster/log/entries.py
@@ -7,7 +7,7 @@
 from ..errors import Torn
 from ..interface import Config, Entry, Image, Kind
 
-HEAD = 32   # bytes that an entry takes on the wire besides its data, at most
+HEAD = 32  # bytes that an entry takes on the wire besides its data, at most
 _CONFIG = msgspec.msgpack.Decoder(Config)
 
 
@@ -75,7 +75,7 @@
     def since(self, index: int, upto: int | None = None) -> tuple[Entry, ...]:
         """Entries `index` to `upto` (the last)."""
         end = len(self.held) if upto is None else upto - self.base
-        return tuple(self.held[index - self.base - 1:end])
+        return tuple(self.held[index - self.base - 1 : end])
 
     def batch(self, index: int, most: int) -> tuple[Entry, ...]:
         """Entries from `index` on that take `most` bytes together, but one at least if there is one."""
@@ -96,14 +96,14 @@
 
     def cut(self, index: int) -> None:
         """Forget entries from `index` on; the Config is again what it was before them."""
-        del self.held[index - self.base - 1:]
+        del self.held[index - self.base - 1 :]
         while self.configs[-1][0] >= index and len(self.configs) > 1:
             self.configs.pop()
 
     def compact(self, image: Image) -> None:
         """Forget entries up to the image, which is of this log."""
         self.configs = [(image.index, image.config), *((at, c) for at, c in self.configs if at > image.index)]
-        del self.held[:image.index - self.base]
+        del self.held[: image.index - self.base]
         self.base, self.base_term = image.index, image.term
 
     def reset(self, image: Image) -> None:
--- a/linkdock/cluster/log/images.py
+++ b/linkdock/cluster/log/images.py
@@ -14,9 +14,9 @@
 
     def __init__(self, image: Image, whole: bytes, round: int) -> None:
         self.index, self.term, self.whole = image.index, image.term, whole
-        self.sent = self.acked = 0      # bytes: handed out, known to be there
+        self.sent = self.acked = 0  # bytes: handed out, known to be there
         self.first = self.back = round  # answers of rounds before the first are of something else
-        self.moved = True               # since the last beat
+        self.moved = True  # since the last beat
 
     def answered(self, at: int, round: int) -> None:
         """The follower holds `at` bytes. It may be fewer than before: it has started again."""
@@ -44,7 +44,7 @@
         return out
 
     def _piece(self, term: int, round: int, at: int, size: int) -> Install:
-        return Install(term, self.index, self.term, at, len(self.whole), self.whole[at:at + size], round)
+        return Install(term, self.index, self.term, at, len(self.whole), self.whole[at : at + size], round)
 
 
 class Incoming:
--- a/linkdock/cluster/log/leading.py
+++ b/linkdock/cluster/log/leading.py
@@ -10,7 +10,7 @@
 from .progress import Progress
 from .settings import LogSettings
 
-MOST_ROUNDS = 64   # whose sending is remembered; an answer to an older one does not count
+MOST_ROUNDS = 64  # whose sending is remembered; an answer to an older one does not count
 
 
 def of_majority(values: list) -> object:
@@ -25,10 +25,10 @@
     def __init__(self, me: str, now: float, term: int, log: Entries, settings: LogSettings) -> None:
         self.me, self.since, self.term, self.settings = me, now, term, settings
         self.followers: dict[str, Progress] = {}
-        self.first = log.last + 1              # its own first entry: before it is committed nothing is counted or read
+        self.first = log.last + 1  # its own first entry: before it is committed nothing is counted or read
         self.round, self.rounds = 0, {}
         self.next_beat = now
-        self.to: str | None = None             # to whom it hands over
+        self.to: str | None = None  # to whom it hands over
         self.over_by = 0.0
         self.told_over = False
         self._whole: tuple[Image, bytes] | None = None
@@ -109,6 +109,9 @@
 
     def heir(self, now: float, log: Entries) -> str | None:
         """The most caught-up other voter of those heard lately."""
-        known = [(progress.match, peer) for peer, progress in self.followers.items()
-                 if peer in log.config.voters and progress.heard > now - 2 * self.settings.election]
+        known = [
+            (progress.match, peer)
+            for peer, progress in self.followers.items()
+            if peer in log.config.voters and progress.heard > now - 2 * self.settings.election
+        ]
         return max(known)[1] if known else None
--- a/linkdock/cluster/log/progress.py
+++ b/linkdock/cluster/log/progress.py
@@ -20,17 +20,17 @@
     def __init__(self, last: int) -> None:
         self.match, self.next = 0, last + 1
         self.probing, self.asked = True, False
-        self.flights: deque[int] = deque()   # the last index of each Append with entries on the way
-        self.told = 0                        # the commit that was sent last
-        self.beat = True                     # the round of now has not gone to it yet
-        self.heard = NEVER                   # when the round was sent that it answered last
+        self.flights: deque[int] = deque()  # the last index of each Append with entries on the way
+        self.told = 0  # the commit that was sent last
+        self.beat = True  # the round of now has not gone to it yet
+        self.heard = NEVER  # when the round was sent that it answered last
         self.out: Outgoing | None = None
 
     def answered(self, message: Appended, last: int) -> None:
         """Take an answer of this term. Duplicates and old ones change nothing that matters."""
         if message.ok:
             if message.index > last:
-                return   # Danger: a match beyond the leader's own log would commit what nobody has
+                return  # Danger: a match beyond the leader's own log would commit what nobody has
             self.match = max(self.match, message.index)
             self.next = max(self.next, self.match + 1)
             while self.flights and self.flights[0] <= self.match:
--- a/linkdock/cluster/log/settings.py
+++ b/linkdock/cluster/log/settings.py
@@ -14,17 +14,17 @@
     Raises ValueError for values with which leases, frames or elections could not be right.
     """
 
-    heartbeat: float = 0.1       # between two rounds of a leader
-    election: float = 0.5        # shortest time without a leader before one stands; voters refuse votes for as long
-    span: float = 0.5            # up to this much more, drawn anew each time
-    drift: float = 0.02          # how far a clock may be from true time, as a share, to either side
-    most_open: int = 1024        # entries proposed and not yet committed
-    most_append: int = 256 << 10     # bytes of entries in one Append (one entry at least)
-    most_flights: int = 8        # Appends with entries on the way to one follower
-    piece: int = 256 << 10       # bytes of one piece of an image
-    most_pieces: int = 4         # pieces on the way to one follower
+    heartbeat: float = 0.1  # between two rounds of a leader
+    election: float = 0.5  # shortest time without a leader before one stands; voters refuse votes for as long
+    span: float = 0.5  # up to this much more, drawn anew each time
+    drift: float = 0.02  # how far a clock may be from true time, as a share, to either side
+    most_open: int = 1024  # entries proposed and not yet committed
+    most_append: int = 256 << 10  # bytes of entries in one Append (one entry at least)
+    most_flights: int = 8  # Appends with entries on the way to one follower
+    piece: int = 256 << 10  # bytes of one piece of an image
+    most_pieces: int = 4  # pieces on the way to one follower
     most_image: int = 256 << 20  # bytes of an image as it is sent
-    most_applied: int = 1024     # committed entries of one Ready
+    most_applied: int = 1024  # committed entries of one Ready
 
     def __post_init__(self) -> None:
         if min(self.heartbeat, self.span) <= 0 or self.election < 0 or not 0 <= self.drift < 0.5:
--- a/linkdock/cluster/members/asking.py
+++ b/linkdock/cluster/members/asking.py
@@ -8,7 +8,7 @@
 
 from .settings import MembersSettings
 
-MOST_JOINS = 16   # questions for Welcome whose answers still count
+MOST_JOINS = 16  # questions for Welcome whose answers still count
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
 
     def join(self) -> int:
         number = self.draw()
-        self._joins = [*self._joins[1 - MOST_JOINS:], number]
+        self._joins = [*self._joins[1 - MOST_JOINS :], number]
         return number
 
     def joined(self, number: int) -> bool:
--- a/linkdock/cluster/members/rumours.py
+++ b/linkdock/cluster/members/rumours.py
@@ -13,9 +13,9 @@
 
 from ..interface import MOST_DATAGRAM, Packet, Peer, Rumour, Standing
 
-MOST_PACKET = MOST_DATAGRAM - 64   # the rest is the digest's
-MOST_ID, MOST_PLACE = 96, 48       # characters of an id, of a zone or region
-HIGHEST = 1 << 32                  # incarnation
+MOST_PACKET = MOST_DATAGRAM - 64  # the rest is the digest's
+MOST_ID, MOST_PLACE = 96, 48  # characters of an id, of a zone or region
+HIGHEST = 1 << 32  # incarnation
 _ID = re.compile(r"[!-}]{1,64}~[!-}]{1,31}", re.ASCII)
 _PLACE = re.compile(r"[!-~]{1,48}", re.ASCII)
 _BYTE = r"(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
@@ -25,9 +25,14 @@
 
 def sound(peer: Peer) -> bool:
     """Whether this can be a process of the fleet: `name~life`, a zone, an IPv4 address with a port, all short."""
-    return bool(_ID.fullmatch(peer.id) and _PLACE.fullmatch(peer.zone)
-                and (not peer.region or _PLACE.fullmatch(peer.region))
-                and _HOST.fullmatch(peer.host) and 0 < peer.port < 65536 and 0 < peer.version < 65536)
+    return bool(
+        _ID.fullmatch(peer.id)
+        and _PLACE.fullmatch(peer.zone)
+        and (not peer.region or _PLACE.fullmatch(peer.region))
+        and _HOST.fullmatch(peer.host)
+        and 0 < peer.port < 65536
+        and 0 < peer.version < 65536
+    )
 
 
 def believable(rumour: Rumour) -> bool:
@@ -81,10 +86,11 @@
             yield told.rumour
 
 
-def fill(packet: Packet, first: list[Rumour], rumours: Rumours, members: int, without: set[str],
-         known: list[Rumour]) -> Packet:
+def fill(
+    packet: Packet, first: list[Rumour], rumours: Rumours, members: int, without: set[str], known: list[Rumour]
+) -> Packet:
     """The packet with the `first` words, then rumours, then of `known` (used up) what fits into one datagram."""
-    room = MOST_PACKET - size(packet) - 2   # an array of more than 15 has a longer head
+    room = MOST_PACKET - size(packet) - 2  # an array of more than 15 has a longer head
     told = []
     for rumour in first:
         if (needs := size(rumour)) <= room:
--- a/linkdock/cluster/members/swim.py
+++ b/linkdock/cluster/members/swim.py
@@ -86,7 +86,7 @@
             self._left = True
             live = self.table.ids(ALIVE, SUSPECT)
             self._random.shuffle(live)
-            for peer_id in live[:2 * ceil(log2(len(live) + 1))]:
+            for peer_id in live[: 2 * ceil(log2(len(live) + 1))]:
                 self._post(peer_id, Ping, self._open.draw(), to=peer_id)
             self._suspects.clear()
         return self._out
@@ -151,8 +151,11 @@
             record = self.table.get(peer_id)
         if rumour.standing is FAILED and record is not None and record.live and not self._ripe(rumour, record):
             rumour = replace(rumour, standing=SUSPECT)
-        if record is not None and rumour.standing is record.standing is SUSPECT \
-                and rumour.incarnation == record.incarnation:
+        if (
+            record is not None
+            and rumour.standing is record.standing is SUSPECT
+            and rumour.incarnation == record.incarnation
+        ):
             self._confirmed(record, by)
             return
         self._changed(self.table.hear(self._now, rumour, direct), by)
@@ -160,9 +163,12 @@
     def _ripe(self, rumour: Rumour, record: Record) -> bool:
         """Whether a word of failure is believed. Danger: it may come from the other side of a cut that has just healed,
         or be a lie: the member has the shortest time of a suspicion here, too, to speak up."""
-        return not self.settings.lifeguard or record.standing is SUSPECT \
-            and record.incarnation == rumour.incarnation \
+        return (
+            not self.settings.lifeguard
+            or record.standing is SUSPECT
+            and record.incarnation == rumour.incarnation
             and self._now - record.suspicion.began >= record.suspicion.shortest
+        )
 
     def _confirmed(self, record: Record, by: str) -> None:
         teller = self.table.get(by)
@@ -299,8 +305,9 @@
         if target is None:
             self._probe_at = self._now + self.settings.probe_s
             return
-        self._open.probe = Probe(number, target, self._now + self.settings.answer_s * times,
-                                 self._now + self.settings.probe_s * times)
+        self._open.probe = Probe(
+            number, target, self._now + self.settings.answer_s * times, self._now + self.settings.probe_s * times
+        )
         self._post(target, Ping, number, to=target)
 
     def _ask_others(self, probe: Probe) -> None:
@@ -355,8 +362,11 @@
     def _retry(self) -> None:
         """Danger: after a cut both sides hold the other for failed; unless somebody tries, nobody ever asks again."""
         self._retry_at = self._now + self.settings.retry_s * self._random.uniform(0.8, 1.2)
-        failed = [one for one in self.table.ids(FAILED)
-                  if name_of(one) != self._name and not any(other.live for other in self.table.others(one))]
+        failed = [
+            one
+            for one in self.table.ids(FAILED)
+            if name_of(one) != self._name and not any(other.live for other in self.table.others(one))
+        ]
         living = {f"{one.peer.host}:{one.peer.port}" for one in self.table.records.values() if one.live}
         seed = self._seeds.astray(living)
         if seed is not None and (not failed or self._random.random() < 0.5):
@@ -374,7 +384,7 @@
         """All that may be told, from anywhere on; no more than the pieces of one answer can take."""
         known = self.table.tellable(self._now)
         at = self._random.randrange(len(known)) if known else 0
-        return [one.said() for one in (known[at:] + known[:at])[:40 * self.settings.pieces]]
+        return [one.said() for one in (known[at:] + known[:at])[: 40 * self.settings.pieces]]
 
     def _first_words(self, to: str, behind: int) -> list[Rumour]:
         """What `to` must hear before all: that it is suspected or taken for dead, or was of a higher incarnation."""
@@ -383,13 +393,26 @@
             return [self._myself()]
         if record is None:
             return []
-        if record.standing >= FAILED or record.incarnation > behind >= 0 \
-                or record.standing is SUSPECT and self.settings.lifeguard:
+        if (
+            record.standing >= FAILED
+            or record.incarnation > behind >= 0
+            or record.standing is SUSPECT
+            and self.settings.lifeguard
+        ):
             return [record.rumour(), *(one.rumour() for one in self.table.others(to)[:2])]
         return []
 
-    def _post(self, to: str, kind: type[Packet], number: int, /, seed: bool = False, behind: int = -1,
-              known: list[Rumour] | None = None, **told: str) -> None:
+    def _post(
+        self,
+        to: str,
+        kind: type[Packet],
+        number: int,
+        /,
+        seed: bool = False,
+        behind: int = -1,
+        known: list[Rumour] | None = None,
+        **told: str,
+    ) -> None:
         """One packet with first words, then rumours, then of `known` (used up) what fits; none to who is not known."""
         if not seed and self.table.get(to) is None:
             return
--- a/linkdock/cluster/members/table.py
+++ b/linkdock/cluster/members/table.py
@@ -60,7 +60,7 @@
         self._settings = settings
         self._lives: dict[str, list[str]] = {}
         self.records: dict[str, Record] = {}
-        self.living = 0   # of the others, suspects counted
+        self.living = 0  # of the others, suspects counted
 
     def get(self, peer_id: str) -> Record | None:
         return self.records.get(peer_id)
@@ -100,8 +100,9 @@
         mine = (rumour.incarnation, rumour.peer.id)
         return any((one.incarnation, one.peer.id) > mine for one in self.others(rumour.peer.id))
 
-    def set(self, now: float, record: Record, standing: Standing, incarnation: int,
-            peer: Peer | None = None) -> list[Change]:
+    def set(
+        self, now: float, record: Record, standing: Standing, incarnation: int, peer: Peer | None = None
+    ) -> list[Change]:
         """It stands like this from now on; a live one's other lives have failed."""
         peer = record.peer if peer is None or incarnation <= record.incarnation else peer
         before, was, moved = record.standing, record.live, peer != record.peer
--- a/linkdock/cluster/node.py
+++ b/linkdock/cluster/node.py
@@ -35,10 +35,10 @@
 
 log = logging.getLogger(__name__)
 
-TRY_AGAIN = 1.0     # seconds until a folder or port that another process has is tried again
-DEADLINE = 2.0      # seconds of a proposal, if its caller does not say
-NOWHERE = "-"       # the zone of a process that is not told any
-LOOK = 0.01         # seconds between looks whether another one leads, at the end
+TRY_AGAIN = 1.0  # seconds until a folder or port that another process has is tried again
+DEADLINE = 2.0  # seconds of a proposal, if its caller does not say
+NOWHERE = "-"  # the zone of a process that is not told any
+LOOK = 0.01  # seconds between looks whether another one leads, at the end
 
 
 class Reading(msgspec.Struct, frozen=True):
@@ -60,15 +60,21 @@
     `failed` says why it takes no part any more; all but `close`, `read`, `view` and `stats` then raise it.
     """
 
-    def __init__(self, settings: ClusterSettings, name: str, folder: Path, loop: asyncio.AbstractEventLoop,
-                 files: Files | None = None) -> None:
+    def __init__(
+        self,
+        settings: ClusterSettings,
+        name: str,
+        folder: Path,
+        loop: asyncio.AbstractEventLoop,
+        files: Files | None = None,
+    ) -> None:
         """Raises OptionError for a key that cannot be read. All else that is wrong is `failed`, and said once."""
         self.settings, self.name, self._folder, self._loop, self._files = settings, name, folder, loop, files
         self.clock = loop.time
         self._key, self._random = key_of(settings), Random(os.urandom(16))
         self.id = ""
         self.failed: ClusterError | None = None
-        self.engine: Engine | None = None   # none until the folder and the port are free
+        self.engine: Engine | None = None  # none until the folder and the port are free
         self._storage: Storage | None = None
         self._sockets: tuple = ()
         self._tasks: set[asyncio.Task] = set()
@@ -111,15 +117,33 @@
             host, port = address(told.advertise)
         self._routes = {name: address(where) for name, where in told.routes.items()}
         probe, election = told.probe_ms / 1000, told.election_ms / 1000
-        self.members = Swim(Peer(self.id, told.zone or NOWHERE, told.region, host, port),
-                            MembersSettings(probe_s=probe, answer_s=0.4 * probe, nack_s=0.3 * probe,
-                                            join_s=min(0.5, probe), retry_s=5 * probe),
-                            self._random.getrandbits(32), int(time.time()))
-        self.links = Links(Seal(self._key, told.cluster, self.id), sockets, self._where, self._on_frame,
-                           self._on_packet, self.spawn, self.clock, self._random)
-        engine = Engine(self.id, storage, LogSettings(heartbeat=told.heartbeat_ms / 1000, election=election,
-                                                      span=election, drift=told.drift),
-                        told.drift, self._random, self._loop, self.links.send)
+        self.members = Swim(
+            Peer(self.id, told.zone or NOWHERE, told.region, host, port),
+            MembersSettings(
+                probe_s=probe, answer_s=0.4 * probe, nack_s=0.3 * probe, join_s=min(0.5, probe), retry_s=5 * probe
+            ),
+            self._random.getrandbits(32),
+            int(time.time()),
+        )
+        self.links = Links(
+            Seal(self._key, told.cluster, self.id),
+            sockets,
+            self._where,
+            self._on_frame,
+            self._on_packet,
+            self.spawn,
+            self.clock,
+            self._random,
+        )
+        engine = Engine(
+            self.id,
+            storage,
+            LogSettings(heartbeat=told.heartbeat_ms / 1000, election=election, span=election, drift=told.drift),
+            told.drift,
+            self._random,
+            self._loop,
+            self.links.send,
+        )
         self._proposals = Proposals(f"{self.id}#{os.urandom(8).hex()}", engine, self.links.send, self.clock, election)
         self.holding = Holding(self.id, told.drift, self.propose, self.spawn, self.clock)
         self._gossip_due, self._steer_due = Alarm(self._loop), Alarm(self._loop)
@@ -269,12 +293,26 @@
             return told
         core, state = engine.core, engine.state
         standings = [rumour.standing.name.lower() for rumour in self.members.view().values()]
-        return {**told, "term": core.term, "leader": core.leader, "leading": core.leading, "commit": core.commit,
-                "applied": engine.index, "voters": list(core.config.voters), "learners": len(core.config.learners),
-                "leases": len(state.leases), "keys": len(state.register), "open": len(self._proposals),
-                "held": len(self.holding.held), "disk_bytes": engine.storage.used, "writes": engine.writes,
-                "longest_write_ms": round(1000 * engine.longest_write, 3), "health": self.members.health(),
-                **{f"members_{name}": standings.count(name) for name in set(standings)}, **self.links.count}
+        return {
+            **told,
+            "term": core.term,
+            "leader": core.leader,
+            "leading": core.leading,
+            "commit": core.commit,
+            "applied": engine.index,
+            "voters": list(core.config.voters),
+            "learners": len(core.config.learners),
+            "leases": len(state.leases),
+            "keys": len(state.register),
+            "open": len(self._proposals),
+            "held": len(self.holding.held),
+            "disk_bytes": engine.storage.used,
+            "writes": engine.writes,
+            "longest_write_ms": round(1000 * engine.longest_write, 3),
+            "health": self.members.health(),
+            **{f"members_{name}": standings.count(name) for name in set(standings)},
+            **self.links.count,
+        }
 
     # --- The end.
 
@@ -312,7 +350,7 @@
     Raises OptionError for a file that cannot be right; what is wrong with disk or port is the node's, never raised.
     """
     told = read(text)
-    zone = getattr(config, "zone", "")   # where RELAY_CONFIG says it
+    zone = getattr(config, "zone", "")  # where RELAY_CONFIG says it
     if zone:
         told = msgspec.structs.replace(told, zone=zone)
     node = Node(told, config.name, Path(config.state) / "cluster", loop)
--- a/linkdock/cluster/places.py
+++ b/linkdock/cluster/places.py
@@ -10,8 +10,9 @@
 MOST_LEARNERS = 512
 
 
-def who_votes(view: Mapping[str, Rumour], config: Config, me: str, wanted: int, gone: Collection[str],
-              caught_up: Collection[str]) -> Config | None:
+def who_votes(
+    view: Mapping[str, Rumour], config: Config, me: str, wanted: int, gone: Collection[str], caught_up: Collection[str]
+) -> Config | None:
     """The next Config, one voter or learner away from `config`, or None if nothing is to be done.
 
     `me` leads. `gone`: ids that have failed or left for longer than the stated time. `caught_up`: learners that hold
@@ -33,7 +34,7 @@
     lost = sorted(peer_id for peer_id in voters if over(peer_id))
     ready = sorted(peer_id for peer_id in learners & alive & set(caught_up) if peer_id in view)
     filled = Counter(zone(peer_id) for peer_id in voters - set(lost))
-    ready.sort(key=lambda peer_id: filled[zone(peer_id)])   # the zone with the fewest first
+    ready.sort(key=lambda peer_id: filled[zone(peer_id)])  # the zone with the fewest first
 
     def with_voter(peer_id: str) -> Config:
         return _made(voters | {peer_id}, learners - {peer_id})
--- a/linkdock/cluster/points.py
+++ b/linkdock/cluster/points.py
@@ -34,6 +34,7 @@
         if not left:
             os.write(1, json.dumps({"event": "point", "name": name}).encode() + b"\n")
             os.kill(os.getpid(), signal.SIGSTOP)
+
     return point
 
 
--- a/linkdock/cluster/proposals.py
+++ b/linkdock/cluster/proposals.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from .engine import Engine
 
-MOST_WAITING = 1024     # calls of `propose` that wait for a number
-MOST_FORWARDED = 4096   # requests of others whose askers are known
+MOST_WAITING = 1024  # calls of `propose` that wait for a number
+MOST_FORWARDED = 4096  # requests of others whose askers are known
 
 
 class _Open:
@@ -25,20 +25,21 @@
 
     def __init__(self, answer: asyncio.Future) -> None:
         self.data, self.answer, self.term = b"", answer, -1
-        answer.add_done_callback(lambda told: told.cancelled() or told.exception())   # nobody may wait any more
+        answer.add_done_callback(lambda told: told.cancelled() or told.exception())  # nobody may wait any more
 
 
 class Proposals:
     """Owner of the requests that are open. The same request is asked again until its answer, and carried out once."""
 
-    def __init__(self, who: str, engine: Engine, send: Callable[[str, AnyFrame], None], clock: Callable[[], float],
-                 again: float) -> None:
+    def __init__(
+        self, who: str, engine: Engine, send: Callable[[str, AnyFrame], None], clock: Callable[[], float], again: float
+    ) -> None:
         """`who`: one run of this process; `again`: seconds until a request is asked again that may have got lost."""
         self._who, self._engine, self._send, self._clock, self._again = who, engine, send, clock, again
         self._last = 0
         self._open: dict[int, _Open] = {}
-        self._line: deque[asyncio.Future] = deque()   # calls that wait for a number
-        self._forwarded: dict[tuple[str, int], tuple[str, int]] = {}   # by request: who sent it, in which term
+        self._line: deque[asyncio.Future] = deque()  # calls that wait for a number
+        self._forwarded: dict[tuple[str, int], tuple[str, int]] = {}  # by request: who sent it, in which term
         self.failed: ClusterError | None = None
 
     def __len__(self) -> int:
@@ -103,13 +104,13 @@
     def _ask(self, number: int, one: _Open) -> None:
         core = self._engine.core
         if not one.data:
-            return   # it has just been let in
+            return  # it has just been let in
         if core.leading:
             if one.term != core.term:
                 try:
                     one.term = self._engine.propose(one.data)
                 except (NotLeading, TooBusy):
-                    return   # it is asked again
+                    return  # it is asked again
         elif core.leader is not None:
             self._send(core.leader, Forward(number, one.data))
 
@@ -121,12 +122,16 @@
     def forwarded(self, sender: str, message: Forward) -> None:
         """Another process asks this one, which leads or did. One that cannot take it is silent: it is asked again."""
         core, asked = self._engine.core, leases.read_request(message.data)
-        if not core.leading or asked is None or asked.number != message.number \
-                or asked.who.rpartition("#")[0] != sender:
+        if (
+            not core.leading
+            or asked is None
+            or asked.number != message.number
+            or asked.who.rpartition("#")[0] != sender
+        ):
             return
         key = asked.who, asked.number
         if self._forwarded.get(key, ("", -1))[1] == core.term:
-            return   # it is on its way
+            return  # it is on its way
         try:
             term = self._engine.propose(message.data)
         except (NotLeading, TooBusy, TooLarge):
@@ -138,11 +143,11 @@
 
     def answered(self, message: Answered) -> None:
         if message.who != self._who:
-            return   # an earlier run's, whose numbers were the same
+            return  # an earlier run's, whose numbers were the same
         try:
             self._give(message.number, leases.read_answer(message.data))
         except ValueError:
-            pass   # of another version; the entry itself will come
+            pass  # of another version; the entry itself will come
 
     def applied(self, asked: Asked, answer: Answer) -> None:
         """A request was carried out here, whoever asked it."""
--- a/linkdock/cluster/steering.py
+++ b/linkdock/cluster/steering.py
@@ -13,10 +13,10 @@
 from .settings import ClusterSettings
 from .wire import AskFresh
 
-EVERY = 0.5          # seconds between looks, if nothing happens before
-LEAST = 0.05         # and at least
-FRESH_FOR = 2.0      # seconds for which another one's word counts that it holds no log
-NOT_YET = 0.5        # seconds until a learner is tried again that had not caught up
+EVERY = 0.5  # seconds between looks, if nothing happens before
+LEAST = 0.05  # and at least
+FRESH_FOR = 2.0  # seconds for which another one's word counts that it holds no log
+NOT_YET = 0.5  # seconds until a learner is tried again that had not caught up
 MOST_DOWN = 4096
 
 
@@ -41,7 +41,7 @@
 
     def __init__(self, node: Process, alarm: Alarm) -> None:
         self._node, self._alarm = node, alarm
-        self._down: dict[str, float] = {}                # by id: since when, as heard here
+        self._down: dict[str, float] = {}  # by id: since when, as heard here
         self._fresh: dict[str, tuple[float, bool]] = {}  # by id: when it said whether it holds no log
         self._not_yet: dict[str, float] = {}
 
@@ -87,8 +87,9 @@
             return
         alive = {peer_id for peer_id, rumour in node.view().items() if rumour.standing is Standing.ALIVE}
         others = alive - {node.id}
-        words = {peer_id: word for peer_id, (at, word) in self._fresh.items()
-                 if peer_id in others and now - at <= FRESH_FOR}
+        words = {
+            peer_id: word for peer_id, (at, word) in self._fresh.items() if peer_id in others and now - at <= FRESH_FOR
+        }
         there = {name_of(peer_id) for peer_id, word in words.items() if word}
         if all(words.values()) and len(words) == len(others) and there >= set(founders[1:]):
             node.engine.found()
@@ -113,5 +114,5 @@
         except BadChange:
             self._not_yet.update(dict.fromkeys(set(new.voters) - set(core.config.voters), now + NOT_YET))
         except (ChangeOpen, NotLeading, TooLarge):
-            pass   # it is looked at again
+            pass  # it is looked at again
         node.engine.wake()
--- a/linkdock/cluster/storage.py
+++ b/linkdock/cluster/storage.py
@@ -35,7 +35,7 @@
 from .errors import ClusterError, Torn
 from .interface import Entry, Image, Stored, Vote
 
-PARTS = 8   # log files that half of the room is shared out to
+PARTS = 8  # log files that half of the room is shared out to
 
 
 class Storage:
@@ -45,19 +45,20 @@
     and the next one may say yes all the same; so the first failure is the last call that does anything.
     """
 
-    def __init__(self, folder: Path, disk_bytes: int, files: Files | None = None,
-                 draw: Callable[[int], bytes] = os.urandom) -> None:
+    def __init__(
+        self, folder: Path, disk_bytes: int, files: Files | None = None, draw: Callable[[int], bytes] = os.urandom
+    ) -> None:
         """Raises FolderInUse, Torn, StorageFailed; nothing is then held."""
         self._folder, self._most, self._files = folder, disk_bytes, files or Files()
         self._part = max(disk_bytes // (2 * PARTS), 4096)
         self.failed: StorageFailed | None = None
         self._lock = self._file = -1
-        self._size = 0                                     # of the file that is written
-        self._old: deque[tuple[int, int, int]] = deque()   # number, bytes, last index of those before it
+        self._size = 0  # of the file that is written
+        self._old: deque[tuple[int, int, int]] = deque()  # number, bytes, last index of those before it
         self._number = self._image_bytes = self._imaged = 0
-        self._grown = 0                                    # bytes written since the last image
+        self._grown = 0  # bytes written since the last image
         self._vote = Vote()
-        self._first, self._terms = 1, []                   # index of the first entry kept, the terms from it on
+        self._first, self._terms = 1, []  # index of the first entry kept, the terms from it on
         try:
             self._files.make_folder(folder)
             self._files.sync_folder(folder.parent)
@@ -139,7 +140,7 @@
         if image is not None:
             self._image_bytes, self._imaged = len(pack(ImageRecord(image))), image.index
         entries, void = self._after(image, entries, begin)
-        if void:   # Danger: the next entry would seem to come after them
+        if void:  # Danger: the next entry would seem to come after them
             self._append(pack(Begin(image.index)))
         self._first = entries[0].index if entries else (image.index if image else 0) + 1
         self._terms = [entry.term for entry in entries]
@@ -160,7 +161,7 @@
                             begin = entry.index - 1
                         if not begin < entry.index <= begin + len(entries) + 1:
                             raise Torn(f"{name}: entry {entry.index} does not follow {begin + len(entries)}")
-                        del entries[entry.index - begin - 1:]
+                        del entries[entry.index - begin - 1 :]
                         entries.append(entry)
         return begin
 
@@ -174,7 +175,7 @@
             return entries, False
         if begin + len(entries) < index or entries[index - begin - 1].term != image.term:
             return [], True
-        return entries[index - begin:], False
+        return entries[index - begin :], False
 
     # --- Writing.
 
@@ -188,8 +189,9 @@
 
         Danger: with no room left nothing is proposed, so nothing grows: then every entry applied since counts.
         """
-        return self.used > self._most // 2 and (self._grown > self._most // PARTS
-                                                or self.room < self._most // PARTS and applied > self._imaged)
+        return self.used > self._most // 2 and (
+            self._grown > self._most // PARTS or self.room < self._most // PARTS and applied > self._imaged
+        )
 
     @property
     def room(self) -> int:
@@ -281,7 +283,7 @@
             while done < len(data):
                 done += self._files.write(file, data[done:], at + done)
         except OSError:
-            self._files.truncate(file, at)   # what was valid stays so, to the byte
+            self._files.truncate(file, at)  # what was valid stays so, to the byte
             raise
 
     def _put(self, name: str, data: bytes) -> None:
--- a/linkdock/cluster/wire.py
+++ b/linkdock/cluster/wire.py
@@ -23,8 +23,8 @@
 LENGTH = 4
 DIGEST = 16
 NONCE = 16
-MOST_HELLO = 1024            # bytes of a frame before the other side has shown that it has the key
-MOST_ID = 200                # bytes of a process's id
+MOST_HELLO = 1024  # bytes of a frame before the other side has shown that it has the key
+MOST_ID = 200  # bytes of a process's id
 _BAD = (msgspec.MsgspecError, ValueError, RecursionError)
 
 
@@ -169,8 +169,9 @@
 
     def hello(self) -> bytes:
         seal = self._seal
-        return _framed(seal._hello, _encode(Hello(seal.cluster, seal.me, self.peer, self._nonce, self._theirs)),
-                       MOST_HELLO)
+        return _framed(
+            seal._hello, _encode(Hello(seal.cluster, seal.me, self.peer, self._nonce, self._theirs)), MOST_HELLO
+        )
 
     def greeted(self, data: bytes) -> None:
         """The other side's Hello, without its length."""
--- a/linkdock/connections/ahead.py
+++ b/linkdock/connections/ahead.py
@@ -11,8 +11,8 @@
 from .orders import ROUND, Endpoint
 from .stock import Stock
 
-RESERVE = 0.1             # of all connections: kept free of those opened ahead
-WAITS = "asked to wait"   # as the server table says it
+RESERVE = 0.1  # of all connections: kept free of those opened ahead
+WAITS = "asked to wait"  # as the server table says it
 
 
 class Ahead:
@@ -30,8 +30,11 @@
         stock = self._stock
         if 2 * stock.count < stock.most:
             return None
-        needs = {server: max(stock.target(now, server, e), e.busy + e.opening + len(e.waiting))
-                 for server, e in stock.endpoints.items() if e.held or e.waiting}
+        needs = {
+            server: max(stock.target(now, server, e), e.busy + e.opening + len(e.waiting))
+            for server, e in stock.endpoints.items()
+            if e.held or e.waiting
+        }
         most = self.most()
         return None if sum(needs.values()) <= most else shares(needs, most)
 
@@ -66,8 +69,9 @@
             past, endpoint.looked_at = min(now - endpoint.looked_at, 1.0), now
             if lack > 0 and self._may(now, server, endpoint, blocked):
                 rate = stock.settings.ahead
-                endpoint.tokens = min(endpoint.tokens + rate * stock.warmth(now, endpoint) * past,
-                                      max(1.0, rate * ROUND))
+                endpoint.tokens = min(
+                    endpoint.tokens + rate * stock.warmth(now, endpoint) * past, max(1.0, rate * ROUND)
+                )
                 lacks[server] = lack
         return lacks
 
@@ -77,9 +81,9 @@
         why = blocked(server)
         if why is not None:
             endpoint.tokens = 0.0
-            endpoint.away = endpoint.away or why != WAITS   # a wait does not make it cold
+            endpoint.away = endpoint.away or why != WAITS  # a wait does not make it cold
             return False
-        if endpoint.away:   # Danger: what comes back is cold, and a handshake is work there.
+        if endpoint.away:  # Danger: what comes back is cold, and a handshake is work there.
             endpoint.away, endpoint.cold_since = False, now
             return False
         return not endpoint.unreachable and not endpoint.refusals and not endpoint.demand.slow(now)
--- a/linkdock/connections/choice.py
+++ b/linkdock/connections/choice.py
@@ -10,7 +10,7 @@
 from . import FRESH
 from .lifetimes import EDGES, USES, Lifetimes
 
-FORESEEN = 0.5     # risk from which a death was to be expected
+FORESEEN = 0.5  # risk from which a death was to be expected
 
 Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
 
@@ -19,23 +19,43 @@
     """Which kept connection is used for what, how many there are, and what operators see of them."""
 
     on: bool = False
-    careful: Annotated[Share, msgspec.Meta(
-        description="The most risk that a kept connection is dead, beyond that of a new one, at which it is used for "
-        "what may not be repeated: the price of a handshake over the worth of a message.")] = 0.04
+    careful: Annotated[
+        Share,
+        msgspec.Meta(
+            description="The most risk that a kept connection is dead, beyond that of a new one, at which it is used for "
+            "what may not be repeated: the price of a handshake over the worth of a message."
+        ),
+    ] = 0.04
     bold: Annotated[Share, msgspec.Meta(description="For what may be repeated, which loses a call's time.")] = 0.05
-    idle_life: Annotated[float, msgspec.Meta(
-        ge=0, description="Seconds that a connection may lie idle at most; 0: as discovery's limits say.")] = 0.0
-    round_trip: Annotated[float, msgspec.Meta(
-        gt=0, le=10, description="Seconds that a round trip to a server takes at least.")] = 0.001
-    used: Annotated[float, msgspec.Meta(
-        gt=0, lt=1, description="The least probability with which one that is opened ahead is used in time.")] = 0.97
+    idle_life: Annotated[
+        float,
+        msgspec.Meta(ge=0, description="Seconds that a connection may lie idle at most; 0: as discovery's limits say."),
+    ] = 0.0
+    round_trip: Annotated[
+        float, msgspec.Meta(gt=0, le=10, description="Seconds that a round trip to a server takes at least.")
+    ] = 0.001
+    used: Annotated[
+        float,
+        msgspec.Meta(
+            gt=0, lt=1, description="The least probability with which one that is opened ahead is used in time."
+        ),
+    ] = 0.97
     cap: Annotated[int, msgspec.Meta(ge=1, description="Connections to one server at most.")] = 256
     handshakes: Annotated[int, msgspec.Meta(ge=1, description="Connections to one server opened at once.")] = 4
-    ahead: Annotated[float, msgspec.Meta(
-        ge=0, le=1000, description="Connections a second that are opened to one server before they are needed; 0: "
-        "none.")] = 10.0
-    file: Annotated[str, msgspec.Meta(
-        pattern=r"^[A-Za-z0-9_.-]*$", description="In RELAY_STATE, for `linkdock connections`; empty: none.")] = ""
+    ahead: Annotated[
+        float,
+        msgspec.Meta(
+            ge=0,
+            le=1000,
+            description="Connections a second that are opened to one server before they are needed; 0: " "none.",
+        ),
+    ] = 10.0
+    file: Annotated[
+        str,
+        msgspec.Meta(
+            pattern=r"^[A-Za-z0-9_.-]*$", description="In RELAY_STATE, for `linkdock connections`; empty: none."
+        ),
+    ] = ""
     file_s: Annotated[float, msgspec.Meta(ge=1, description="Seconds between two writings of it.")] = 5.0
 
 
@@ -48,8 +68,9 @@
     if told.careful > told.bold:
         raise OptionError(f"connections.json: careful must be at most bold ({told.bold:g}), not {told.careful:g}")
     if 0 < told.idle_life <= told.round_trip:
-        raise OptionError(f"connections.json: idle_life must be above round_trip ({told.round_trip:g} s), "
-                          f"not {told.idle_life:g}")
+        raise OptionError(
+            f"connections.json: idle_life must be above round_trip ({told.round_trip:g} s), " f"not {told.idle_life:g}"
+        )
     return told
 
 
--- a/linkdock/connections/demand.py
+++ b/linkdock/connections/demand.py
@@ -10,23 +10,23 @@
 
 from math import erfc, exp, inf, log, sqrt
 
-FAST, SLOW = 0.5, 10.0     # seconds over which arrivals are averaged: for a surge, and for what is usual
-PRESENT = 0.2              # weight of one call in the call time of now
-USUAL = 60.0               # seconds over which the usual one is averaged
-FIRST_CALLS = 10           # until then the usual call time is the plain mean, and nothing is opened ahead
-OUTLIER = 3.0              # times the usual call time beyond which a call counts as that
-SLOWED = 1.6               # times the usual call time from which calls are slow
-RISEN = 1.5                # times the usual arrivals from which there is more demand
+FAST, SLOW = 0.5, 10.0  # seconds over which arrivals are averaged: for a surge, and for what is usual
+PRESENT = 0.2  # weight of one call in the call time of now
+USUAL = 60.0  # seconds over which the usual one is averaged
+FIRST_CALLS = 10  # until then the usual call time is the plain mean, and nothing is opened ahead
+OUTLIER = 3.0  # times the usual call time beyond which a call counts as that
+SLOWED = 1.6  # times the usual call time from which calls are slow
+RISEN = 1.5  # times the usual arrivals from which there is more demand
 MOST_NEEDED = 10_000
-CHANCE = 3.0               # standard deviations of the arrivals of late beyond which they have risen
-HOLD = 5.0                 # seconds for which a target that has fallen is held
+CHANCE = 3.0  # standard deviations of the arrivals of late beyond which they have risen
+HOLD = 5.0  # seconds for which a target that has fallen is held
 
 
 def at_least(count: int, mean: float) -> float:
     """The probability that a Poisson value of that mean is `count` or more."""
     if count <= 0 or mean <= 0:
         return 1.0 if count <= 0 else 0.0
-    if mean > 50:   # normal, with the correction for whole numbers
+    if mean > 50:  # normal, with the correction for whole numbers
         return 0.5 * erfc((count - 0.5 - mean) / sqrt(2 * mean))
     part = total = exp(-mean)
     for n in range(1, count):
@@ -41,7 +41,7 @@
     __slots__ = ("_fast", "_slow", "_at", "usual", "present", "_calls", "_held", "_held_at", "began", "_took_at")
 
     def __init__(self, now: float) -> None:
-        self._fast = self._slow = 0.0    # calls a second
+        self._fast = self._slow = 0.0  # calls a second
         self._at = self.began = self._took_at = now
         self.usual = self.present = 0.0  # seconds
         self._calls = 0
@@ -75,7 +75,7 @@
     def rates(self, now: float) -> tuple[float, float]:
         """Calls a second: of now, and as usual. A server that is new is not held to be surging."""
         self._decay(now)
-        share = 1 - exp(-max(now - self.began, FAST) / SLOW)   # of the long average that can have filled by now
+        share = 1 - exp(-max(now - self.began, FAST) / SLOW)  # of the long average that can have filled by now
         return self._fast, self._slow / share
 
     def surging(self, now: float) -> bool:
--- a/linkdock/connections/keeper.py
+++ b/linkdock/connections/keeper.py
@@ -18,9 +18,9 @@
 
 __all__ = ["CAP_HOLD", "HOLD", "REFUSALS", "ROUND", "Action", "Close", "Fail", "Keeper", "Open", "Ticket", "Use"]
 
-FORGET = 60.0          # seconds without calls and connections after which nothing is kept of a server's demand
-MOST_WAITING = 4096    # calls that wait at once
-SLICE = 256            # servers that one round looks at
+FORGET = 60.0  # seconds without calls and connections after which nothing is kept of a server's demand
+MOST_WAITING = 4096  # calls that wait at once
+SLICE = 256  # servers that one round looks at
 
 
 class Keeper(Stock):
@@ -30,11 +30,19 @@
     `cold_time` in which a server that has come back rises from `cold_share` of its work to all of it.
     """
 
-    def __init__(self, settings: ConnectionsSettings, choice: Choice, most: int, idle_for: float,
-                 connect_timeout: float, cold_share: float = 1.0, cold_time: float = 0.0) -> None:
+    def __init__(
+        self,
+        settings: ConnectionsSettings,
+        choice: Choice,
+        most: int,
+        idle_for: float,
+        connect_timeout: float,
+        cold_share: float = 1.0,
+        cold_time: float = 0.0,
+    ) -> None:
         super().__init__(settings, choice, most, idle_for, cold_share, cold_time)
         self._patience, self._ahead = connect_timeout, Ahead(self)
-        self._next = 0   # where the next round goes on
+        self._next = 0  # where the next round goes on
 
     # --- What calls say.
 
@@ -128,7 +136,7 @@
             self._serve(now, endpoint, done)
             return done
         if endpoint.up:
-            endpoint.refused(now)   # it serves, and may take no more: its calls go over what it has
+            endpoint.refused(now)  # it serves, and may take no more: its calls go over what it has
             self._serve(now, endpoint, done)
         else:
             endpoint.unreachable = True
@@ -153,7 +161,7 @@
         endpoint.opening -= 1
         self._gone(endpoint, "no descriptor")
         self._make_room(now, done)
-        self.short[server] = None   # the next round tries again
+        self.short[server] = None  # the next round tries again
         return done
 
     def give_back(self, now: float, connection: object) -> list[Action]:
@@ -217,7 +225,7 @@
         done: list[Action] = []
         names = list(self.endpoints)
         self._next = self._next if self._next < len(names) else 0
-        names, self._next = names[self._next:self._next + SLICE], self._next + SLICE
+        names, self._next = names[self._next : self._next + SLICE], self._next + SLICE
         for server in names:
             self._look(now, server, self.endpoints[server], done)
         self._serve_short(now, done)
@@ -238,14 +246,19 @@
         elif not endpoint.held and now - endpoint.asked_at >= FORGET:
             del self.endpoints[server]
 
-    def _open_ahead(self, now: float, names: Iterable[str], blocked: Callable[[str], str | None],
-                    done: list[Action]) -> None:
+    def _open_ahead(
+        self, now: float, names: Iterable[str], blocked: Callable[[str], str | None], done: list[Action]
+    ) -> None:
         """Connections before they are needed, at a bounded rate."""
         most = self._ahead.most()
         for server, lack in self._ahead.lacks(now, names, blocked).items():
             endpoint = self.endpoints[server]
-            while lack > 0 and endpoint.tokens >= 1 and self.count < most and (
-                    endpoint.opening < self._handshakes(now, endpoint)):
+            while (
+                lack > 0
+                and endpoint.tokens >= 1
+                and self.count < most
+                and (endpoint.opening < self._handshakes(now, endpoint))
+            ):
                 endpoint.tokens, lack = endpoint.tokens - 1, lack - 1
                 endpoint.counts["ahead"] += 1
                 self._open(server, endpoint, done)
--- a/linkdock/connections/kept.py
+++ b/linkdock/connections/kept.py
@@ -34,15 +34,25 @@
     def __init__(self, server: str, kind: int, dial: tuple[str, int], careful: bool) -> None:
         super().__init__(server, kind, dial, careful)
         self.got: asyncio.Future[Connection] = asyncio.get_running_loop().create_future()
-        self.got.add_done_callback(seen)   # its call may be over before it comes
+        self.got.add_done_callback(seen)  # its call may be over before it comes
 
 
 class KeptPool:
     """Owner of every connection to a backend server."""
 
-    def __init__(self, settings: ConnectionsSettings, wheel: Wheel, spawn: Callable[[Coroutine], None],
-                 blocked: Callable[[str], str | None], most: int, idle_for: float, connect_timeout: float,
-                 cold_share: float, cold_time: float, folder: Path) -> None:
+    def __init__(
+        self,
+        settings: ConnectionsSettings,
+        wheel: Wheel,
+        spawn: Callable[[Coroutine], None],
+        blocked: Callable[[str], str | None],
+        most: int,
+        idle_for: float,
+        connect_timeout: float,
+        cold_share: float,
+        cold_time: float,
+        folder: Path,
+    ) -> None:
         self._wheel, self._spawn, self._blocked, self._connect_timeout = wheel, spawn, blocked, connect_timeout
         self.keeper = Keeper(settings, Choice(settings), most, idle_for, connect_timeout, cold_share, cold_time)
         self._opening: set[Connection] = set()
@@ -145,7 +155,7 @@
                 self._idle.discard(connection)
                 self._use(asked, connection)
             case Open() if self._closed:
-                pass   # the end: what is ordered by calls that are given up is not begun any more
+                pass  # the end: what is ordered by calls that are given up is not begun any more
             case Open(server, kind, dial):
                 try:
                     connection = Connection(server, kind, dial, new_stream())
@@ -162,7 +172,7 @@
                     asked.got.set_exception(PoolFull() if full else StreamClosedError())
 
     def _use(self, asked: Asked, connection: Connection) -> None:
-        if asked.got.done():   # given up while the orders were carried out
+        if asked.got.done():  # given up while the orders were carried out
             self._idle.add(connection)
             self._do(self.keeper.unused(self._wheel.now, connection))
         elif not silent(connection.stream, connection.first):
--- a/linkdock/connections/lifetimes.py
+++ b/linkdock/connections/lifetimes.py
@@ -15,15 +15,41 @@
 from bisect import bisect_right
 from math import exp
 
-EDGES = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0, 1.2, 1.4, 1.6, 1.8, 2.0, 2.3, 2.6, 3.0, 3.5, 4.0, 4.5, 5.0,
-         7.0, 10.0, 20.0, 60.0)
-USES = (2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256, 512, 1024)   # calls that it has carried
-MEMORY = 240.0       # seconds in which what was seen loses weight e-fold
-PRIOR = 3.0          # uses that the kind's figures weigh at most, at each age
-MOST = 4096          # servers that something is known of; the one known the longest goes first
-TRIED = 0.4          # uses, grown old, below which an age counts as not tried
-OUTDATED = 8         # uses of its kind after which a server's risks are worked out anew
-BASE, BASE_USES = 0.002, 1.0   # risk before anything was seen, and its weight
+EDGES = (
+    0.1,
+    0.2,
+    0.3,
+    0.4,
+    0.5,
+    0.6,
+    0.7,
+    0.8,
+    0.9,
+    1.0,
+    1.2,
+    1.4,
+    1.6,
+    1.8,
+    2.0,
+    2.3,
+    2.6,
+    3.0,
+    3.5,
+    4.0,
+    4.5,
+    5.0,
+    7.0,
+    10.0,
+    20.0,
+    60.0,
+)
+USES = (2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256, 512, 1024)  # calls that it has carried
+MEMORY = 240.0  # seconds in which what was seen loses weight e-fold
+PRIOR = 3.0  # uses that the kind's figures weigh at most, at each age
+MOST = 4096  # servers that something is known of; the one known the longest goes first
+TRIED = 0.4  # uses, grown old, below which an age counts as not tried
+OUTDATED = 8  # uses of its kind after which a server's risks are worked out anew
+BASE, BASE_USES = 0.002, 1.0  # risk before anything was seen, and its weight
 
 
 class Uses:
@@ -32,7 +58,7 @@
     __slots__ = ("uses", "dead", "at")
 
     def __init__(self, places: int) -> None:
-        self.uses = array("f", bytes(4 * places))   # the first: of new connections
+        self.uses = array("f", bytes(4 * places))  # the first: of new connections
         self.dead = array("f", bytes(4 * places))
         self.at = 0.0
 
@@ -49,7 +75,7 @@
 
 def rising(shares: list[float], weights: list[float]) -> list[float]:
     """The closest rising sequence, by pooling adjacent violators."""
-    blocks: list[list[float]] = []   # share, weight, length
+    blocks: list[list[float]] = []  # share, weight, length
     for share, weight in zip(shares, weights, strict=True):
         blocks.append([share, weight, 1])
         while len(blocks) > 1 and blocks[-2][0] > blocks[-1][0]:
@@ -70,8 +96,8 @@
         self._edges, self._places = edges, len(edges) + 2
         self._servers: dict[str, Uses] = {}
         self._kinds: dict[int, Uses] = {}
-        self._news: dict[int, int] = {}            # uses of each kind so far
-        self._risks: dict[str, tuple[int, list[float]]] = {}   # worked out when its kind had so many
+        self._news: dict[int, int] = {}  # uses of each kind so far
+        self._risks: dict[str, tuple[int, list[float]]] = {}  # worked out when its kind had so many
 
     def __len__(self) -> int:
         return len(self._servers)
@@ -91,7 +117,7 @@
             counts[key].add(now, n, alive)
         self._news[kind] = self._news.get(kind, 0) + 1
         known = self._risks.get(server)
-        if known is not None and not (alive and known[1][-1] < BASE):   # else nothing that it could change
+        if known is not None and not (alive and known[1][-1] < BASE):  # else nothing that it could change
             del self._risks[server]
 
     def forget(self, server: str) -> None:
@@ -120,9 +146,9 @@
         for n in reversed(range(self._places)):
             uses, dead = BASE_USES, BASE * BASE_USES
             if own is not None:
-                outlived += own.uses[n] - own.dead[n]   # it was alive at that age or a greater one
+                outlived += own.uses[n] - own.dead[n]  # it was alive at that age or a greater one
             if shared is not None and shared.uses[n] > 0:
-                weight = min(PRIOR, shared.uses[n]) / (1 + outlived) ** 2   # soon it says more than its kind
+                weight = min(PRIOR, shared.uses[n]) / (1 + outlived) ** 2  # soon it says more than its kind
                 uses, dead = uses + weight, dead + weight * shared.dead[n] / shared.uses[n]
             if own is not None:
                 uses, dead = uses + own.uses[n], dead + own.dead[n]
--- a/linkdock/connections/orders.py
+++ b/linkdock/connections/orders.py
@@ -13,9 +13,9 @@
 
 from .demand import Demand
 
-ROUND = 0.1            # seconds between rounds
-REFUSALS = 3           # in a row that are taken for a cap: one may be chance
-CAP_HOLD = 0.5         # seconds in which a cap that has shown itself is not tried; twice that each further time
+ROUND = 0.1  # seconds between rounds
+REFUSALS = 3  # in a row that are taken for a cap: one may be chance
+CAP_HOLD = 0.5  # seconds in which a cap that has shown itself is not tried; twice that each further time
 CAP_HOLD_MOST = 8.0
 
 
@@ -57,7 +57,7 @@
     server: str
     kind: int
     dial: tuple
-    careful: bool       # what it carries may not be repeated
+    careful: bool  # what it carries may not be repeated
     since: float = 0.0
     until: float = inf
 
@@ -69,23 +69,23 @@
     kind: int
     dial: tuple
     demand: Demand
-    idle: list = field(default_factory=list)            # the longest idle first
+    idle: list = field(default_factory=list)  # the longest idle first
     waiting: deque[Ticket] = field(default_factory=deque)
     busy: int = 0
-    resting: set = field(default_factory=set)           # of those busy: answered, and free in a moment
+    resting: set = field(default_factory=set)  # of those busy: answered, and free in a moment
     opening: int = 0
-    cap: float = inf                                    # connections beyond which it refused
+    cap: float = inf  # connections beyond which it refused
     capped_at: float = -inf
-    hold: float = 0.0                                   # seconds for which the cap is not tried
-    refusals: int = 0                                   # in a row
-    unreachable: bool = False                           # the last connect failed, and none is up
-    away: bool = False                                  # seen gone, drained or stopped
+    hold: float = 0.0  # seconds for which the cap is not tried
+    refusals: int = 0  # in a row
+    unreachable: bool = False  # the last connect failed, and none is up
+    away: bool = False  # seen gone, drained or stopped
     cold_since: float = -inf
-    tokens: float = 0.0                                 # handshakes that may be begun ahead
+    tokens: float = 0.0  # handshakes that may be begun ahead
     looked_at: float = 0.0
     asked_at: float = 0.0
     counts: Counter = field(default_factory=Counter)
-    handshake: float = 0.0                              # seconds, averaged
+    handshake: float = 0.0  # seconds, averaged
 
     @property
     def up(self) -> int:
--- a/linkdock/connections/pool.py
+++ b/linkdock/connections/pool.py
@@ -12,8 +12,8 @@
 from ..streams import seen, silent
 from . import FRESH
 
-BUFFER = 256 * 1024   # of one connection: an answer holds at most a body of 64 KiB and its head
-BEHIND = 0.01         # seconds after an answer in which more than belongs to it may still come
+BUFFER = 256 * 1024  # of one connection: an answer holds at most a body of 64 KiB and its head
+BEHIND = 0.01  # seconds after an answer in which more than belongs to it may still come
 
 
 class PoolFull(LinkdockError):
@@ -31,10 +31,10 @@
 
     def __init__(self, server: str, kind: int, dial: tuple[str, int], stream: IOStream) -> None:
         self.server, self.kind, self.dial, self.stream = server, kind, dial, stream
-        self.idle_since, self.age, self.uses = 0.0, FRESH, 0   # the keeper's, where there is one
+        self.idle_since, self.age, self.uses = 0.0, FRESH, 0  # the keeper's, where there is one
         self.timer: Timer | None = None
-        self.first = None       # the read that waits for the next answer
-        self.rested_at = 0.0    # on the wheel's clock: until then more may come behind the last answer
+        self.first = None  # the read that waits for the next answer
+        self.rested_at = 0.0  # on the wheel's clock: until then more may come behind the last answer
 
 
 def new_stream() -> IOStream:
@@ -86,8 +86,8 @@
         except PoolFull:
             if not self._make_room():
                 raise
-            stream = new_stream()   # by the descriptor that has just come free
-        self._count += 1   # Danger: counted before, it would be counted for good where there is no descriptor
+            stream = new_stream()  # by the descriptor that has just come free
+        self._count += 1  # Danger: counted before, it would be counted for good where there is no descriptor
         return Connection(server, kind, dial, stream)
 
     def _make_room(self) -> bool:
--- a/linkdock/connections/stock.py
+++ b/linkdock/connections/stock.py
@@ -12,21 +12,28 @@
 from .demand import Demand
 from .orders import Action, Close, Endpoint, Open, Ticket, Use
 
-MOST = 4096            # servers whose demand is known
-PATIENCE = 0.5         # times the usual call time that a call waits for a free connection while calls are slow
-FRESH_FOR = 0.05       # seconds in which one that was never used counts as new
+MOST = 4096  # servers whose demand is known
+PATIENCE = 0.5  # times the usual call time that a call waits for a free connection while calls are slow
+FRESH_FOR = 0.05  # seconds in which one that was never used counts as new
 
 
 class Stock:
     """The connections of all servers. `most` bounds them, those being opened among them."""
 
-    def __init__(self, settings: ConnectionsSettings, choice: Choice, most: int, idle_for: float,
-                 cold_share: float, cold_time: float) -> None:
+    def __init__(
+        self,
+        settings: ConnectionsSettings,
+        choice: Choice,
+        most: int,
+        idle_for: float,
+        cold_share: float,
+        cold_time: float,
+    ) -> None:
         self.settings, self.choice, self.most = settings, choice, most
         self._idle_for = min(idle_for, settings.idle_life or inf)
         self._cold_share, self._cold_time = cold_share, cold_time
         self.endpoints: dict[str, Endpoint] = {}
-        self.short: dict[str, None] = {}   # servers whose calls found no room at all, the first first
+        self.short: dict[str, None] = {}  # servers whose calls found no room at all, the first first
         self.count = self._waiting = 0
         self.peak = 0
 
@@ -103,7 +110,7 @@
             if not self._may_use(now, connection, ticket.careful):
                 passed.append(ticket)
                 if not ticket.careful:
-                    while endpoint.idle:   # the others are older still
+                    while endpoint.idle:  # the others are older still
                         self._close(endpoint, endpoint.idle[-1], "too likely dead", done)
                 continue
             endpoint.idle.pop()
@@ -141,8 +148,11 @@
 
     def _make_room(self, now: float, done: list[Action]) -> bool:
         """Descriptors are short: the server with the most beyond its target gives up its longest idle."""
-        idle = [(e.up - self.target(now, server, e), -e.idle[0].idle_since, server)
-                for server, e in self.endpoints.items() if e.idle]
+        idle = [
+            (e.up - self.target(now, server, e), -e.idle[0].idle_since, server)
+            for server, e in self.endpoints.items()
+            if e.idle
+        ]
         if not idle:
             return False
         best = self.endpoints[max(idle)[2]]
--- a/linkdock/connections/view.py
+++ b/linkdock/connections/view.py
@@ -15,11 +15,19 @@
 
 log = logging.getLogger(__name__)
 
-MOST_ROWS = 512          # servers in the file, those with the most calls
+MOST_ROWS = 512  # servers in the file, those with the most calls
 VERSION = 1
 # How connections end, in the keeper's words.
-CAUSES = ("too old", "too likely dead", "room for others", "retired by an outcome", "closed by the server",
-          "ended in use", "no descriptor", "moved")
+CAUSES = (
+    "too old",
+    "too likely dead",
+    "room for others",
+    "retired by an outcome",
+    "closed by the server",
+    "ended in use",
+    "no descriptor",
+    "moved",
+)
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -66,16 +74,38 @@
     told = []
     for server, e in ranked[:MOST_ROWS]:
         fast, _ = e.demand.rates(now)
-        told.append(Row(
-            server=server, busy=e.busy, idle=len(e.idle), opening=e.opening, waiting=len(e.waiting),
-            target=keeper.target(now, server, e), cap=None if e.cap == float("inf") else int(e.cap),
-            opened=e.counts["opened"], ahead=e.counts["ahead"], failed=e.counts["failed"], reused=e.counts["reused"],
-            found_dead=e.counts["found dead"], reset_at_first_byte=e.counts["reset at first byte"],
-            ended={why: e.counts[why] for why in CAUSES if e.counts[why]},
-            handshake_s=round(e.handshake, 4), call_s=round(e.demand.usual, 4), calls_per_s=round(fast, 2),
-            slow=e.demand.slow(now), idle_life_s=keeper.choice.life(server, e.kind)))
-    return State(version=VERSION, unix=round(time.time(), 3), pid=os.getpid(), up=len(keeper), peak=keeper.peak,
-                 left_out=max(0, len(ranked) - MOST_ROWS), servers=told)
+        told.append(
+            Row(
+                server=server,
+                busy=e.busy,
+                idle=len(e.idle),
+                opening=e.opening,
+                waiting=len(e.waiting),
+                target=keeper.target(now, server, e),
+                cap=None if e.cap == float("inf") else int(e.cap),
+                opened=e.counts["opened"],
+                ahead=e.counts["ahead"],
+                failed=e.counts["failed"],
+                reused=e.counts["reused"],
+                found_dead=e.counts["found dead"],
+                reset_at_first_byte=e.counts["reset at first byte"],
+                ended={why: e.counts[why] for why in CAUSES if e.counts[why]},
+                handshake_s=round(e.handshake, 4),
+                call_s=round(e.demand.usual, 4),
+                calls_per_s=round(fast, 2),
+                slow=e.demand.slow(now),
+                idle_life_s=keeper.choice.life(server, e.kind),
+            )
+        )
+    return State(
+        version=VERSION,
+        unix=round(time.time(), 3),
+        pid=os.getpid(),
+        up=len(keeper),
+        peak=keeper.peak,
+        left_out=max(0, len(ranked) - MOST_ROWS),
+        servers=told,
+    )
 
 
 class StateFile:
@@ -113,17 +143,55 @@
     """Lines for a terminal."""
     ago = max(0.0, time.time() - state.unix)
     lines = [f"{state.up} connections up, {state.peak} at most, written {ago:.0f} s ago by process {state.pid}"]
-    head = ("server", "busy", "idle", "opening", "waiting", "target", "cap", "opened", "ahead", "failed", "reused",
-            "dead", "reset", "handshake", "call", "calls/s", "idle life")
+    head = (
+        "server",
+        "busy",
+        "idle",
+        "opening",
+        "waiting",
+        "target",
+        "cap",
+        "opened",
+        "ahead",
+        "failed",
+        "reused",
+        "dead",
+        "reset",
+        "handshake",
+        "call",
+        "calls/s",
+        "idle life",
+    )
     cells = [head] + [
-        (r.server, r.busy, r.idle, r.opening, r.waiting, r.target, "-" if r.cap is None else r.cap, r.opened, r.ahead,
-         r.failed, r.reused, r.found_dead, r.reset_at_first_byte, f"{r.handshake_s * 1000:.0f} ms",
-         f"{r.call_s * 1000:.0f} ms{' slow' if r.slow else ''}", f"{r.calls_per_s:g}",
-         "-" if r.idle_life_s is None else f"{r.idle_life_s:g} s") for r in state.servers]
+        (
+            r.server,
+            r.busy,
+            r.idle,
+            r.opening,
+            r.waiting,
+            r.target,
+            "-" if r.cap is None else r.cap,
+            r.opened,
+            r.ahead,
+            r.failed,
+            r.reused,
+            r.found_dead,
+            r.reset_at_first_byte,
+            f"{r.handshake_s * 1000:.0f} ms",
+            f"{r.call_s * 1000:.0f} ms{' slow' if r.slow else ''}",
+            f"{r.calls_per_s:g}",
+            "-" if r.idle_life_s is None else f"{r.idle_life_s:g} s",
+        )
+        for r in state.servers
+    ]
     widths = [max(len(str(row[n])) for row in cells) for n in range(len(head))]
     for row in cells:
-        lines.append("  ".join(str(cell).ljust(w) if n == 0 else str(cell).rjust(w)
-                               for n, (cell, w) in enumerate(zip(row, widths, strict=True))).rstrip())
+        lines.append(
+            "  ".join(
+                str(cell).ljust(w) if n == 0 else str(cell).rjust(w)
+                for n, (cell, w) in enumerate(zip(row, widths, strict=True))
+            ).rstrip()
+        )
     for row in state.servers:
         if row.ended:
             lines.append(f"{row.server} ended: " + ", ".join(f"{count} {why}" for why, count in row.ended.items()))
--- a/linkdock/console/main.py
+++ b/linkdock/console/main.py
@@ -35,6 +35,7 @@
 def run() -> None:
     """Start one sender in the foreground, as `python -m linkdock` does."""
     from ..service.run import main
+
     sys.exit(main())
 
 
@@ -42,20 +43,23 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path), metavar="FILE...")
 @click.option("--message", metavar="ID", help="Tell the story of one message, event by event.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-@click.option("--most", default=20, show_default=True, type=click.IntRange(0, 1000),
-              help="Findings that are printed one by one.")
+@click.option(
+    "--most", default=20, show_default=True, type=click.IntRange(0, 1000), help="Findings that are printed one by one."
+)
 def audit(files: tuple[Path, ...], message: str | None, as_json: bool, most: int) -> None:
     """Judge the records in FILE...: messages with no end, two ends, a late end, or a forbidden repeat."""
     from ..records.audit import audit as judge
     from ..records.reading import Passed, ReadError, read
+
     passed = Passed()
     try:
         report, story = judge(read(list(files), passed), passed, message)
     except ReadError as bad:
         raise refusal(bad) from None
     if not report["senders"]:
-        raise refusal(NothingFound(f"no event in {', '.join(map(str, files))}"
-                                   + (f"; {passed.named[0]}" if passed.named else "")))
+        raise refusal(
+            NothingFound(f"no event in {', '.join(map(str, files))}" + (f"; {passed.named[0]}" if passed.named else ""))
+        )
     if message is not None and not story:
         raise refusal(NothingFound(f"no event of message {message}"))
     report["found"], cut = report["found"][:most], len(report["found"][most:]) + report["unnamed"]
@@ -89,6 +93,7 @@
 def _show(package: str, file: Path, as_json: bool, *more: object) -> None:
     """Read a state file by its package's view, and print it."""
     import importlib
+
     try:
         view = importlib.import_module(f"..{package}.view", __package__)
     except ImportError as bad:
@@ -113,23 +118,35 @@
 @click.option("--destinations", type=int, help="How many are listed.")
 @click.option("--wake", type=int, help="How many wake inside one second.")
 @click.option("--seeds", type=int, help="How many schedules.")
-@click.option("--plan", "file", type=click.Path(path_type=Path, dir_okay=False), help="A file with the experiment's "
-              "figures as JSON; options go before it.")
+@click.option(
+    "--plan",
+    "file",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="A file with the experiment's " "figures as JSON; options go before it.",
+)
 @click.option("--process/--no-process", default=None, help="Whether a real sender is measured too.")
 @click.option("--jobs", type=int, help="Processes that play schedules side by side.")
 @click.option("--table", type=click.Path(path_type=Path), help="Write the runs as Parquet.")
 @click.option("--plot", type=click.Path(path_type=Path), help="Write a plot as PNG.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-def idle(destinations: int | None, wake: int | None, seeds: int | None, file: Path | None, process: bool | None,
-         jobs: int | None, table: Path | None, plot: Path | None, as_json: bool) -> None:
+def idle(
+    destinations: int | None,
+    wake: int | None,
+    seeds: int | None,
+    file: Path | None,
+    process: bool | None,
+    jobs: int | None,
+    table: Path | None,
+    plot: Path | None,
+    as_json: bool,
+) -> None:
     """Many idle destinations: memory, cost of a pass, latency, and a thousand waking inside one second."""
     try:
         from ..lab import idle as experiment
         from ..lab import results
     except ImportError as bad:
         raise refusal(MissingPackages("requirements-lab.txt", bad, "the laboratory")) from None
-    options = {"destinations": destinations, "wake": wake, "seeds": seeds, "process": process,
-               "jobs": jobs}
+    options = {"destinations": destinations, "wake": wake, "seeds": seeds, "process": process, "jobs": jobs}
     try:
         plan = results.read_plan(file, experiment.Plan, {k: v for k, v in options.items() if v is not None})
         for path in (table, plot):
@@ -203,16 +220,28 @@
 @click.option("--jobs", type=int, help="Processes that play schedules side by side.")
 @click.option("--plan", "file", type=click.Path(path_type=Path, dir_okay=False), help="A file of figures as JSON.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-def grown(senders: int | None, endpoints: int | None, asking: str | None, seeds: int | None, jobs: int | None,
-          file: Path | None, as_json: bool) -> None:
+def grown(
+    senders: int | None,
+    endpoints: int | None,
+    asking: str | None,
+    seeds: int | None,
+    jobs: int | None,
+    file: Path | None,
+    as_json: bool,
+) -> None:
     """Few destinations with limits, a dear list, scarce connections: a release, an outage, lowered limits."""
-    _experiment("grown", file, {"senders": senders, "endpoints": endpoints, "asking": asking, "seeds": seeds,
-                                "jobs": jobs}, as_json)
+    _experiment(
+        "grown",
+        file,
+        {"senders": senders, "endpoints": endpoints, "asking": asking, "seeds": seeds, "jobs": jobs},
+        as_json,
+    )
 
 
 def _experiment(name: str, file: Path | None, options: dict, as_json: bool) -> None:
     """Read the plan, run the experiment of that name and print its report."""
     import importlib
+
     try:
         experiment = importlib.import_module(f"..lab.{name}", __package__)
         from ..lab import results
@@ -253,8 +282,10 @@
     for what, count in report["faults"].items():
         click.echo(f"FAULT {count} x {what}")
     for fault in report["found"]:
-        click.echo(f"  {fault['sender']} {fault['message']}: {fault['kind']}: {fault['text']} "
-                   f"({fault['file']}:{fault['line']})")
+        click.echo(
+            f"  {fault['sender']} {fault['message']}: {fault['kind']}: {fault['text']} "
+            f"({fault['file']}:{fault['line']})"
+        )
     if report["unnamed"]:
         click.echo(f"  and {report['unnamed']} more")
 
--- a/linkdock/console/undeliverable.py
+++ b/linkdock/console/undeliverable.py
@@ -34,6 +34,7 @@
 
 def filters(command: Callable) -> Callable:
     """The options by which messages are chosen, as one `which`."""
+
     @click.option("--destination", type=int, help="Of this destination.")
     @click.option("--class", "cls", help="Of this class.")
     @click.option("--cause", type=click.Choice(["deferred", "undeliverable"]), help="By the end that was told.")
@@ -43,13 +44,34 @@
     @click.option("--id", "name", help="This one.")
     @click.option("--dropped", is_flag=True, help="Also those that were dropped.")
     @wraps(command)
-    def with_filters(destination: int | None, cls: str | None, cause: str | None, older: float | None,
-                     newer: float | None, doubt: bool | None, name: str | None, dropped: bool, **more) -> None:
+    def with_filters(
+        destination: int | None,
+        cls: str | None,
+        cause: str | None,
+        older: float | None,
+        newer: float | None,
+        doubt: bool | None,
+        name: str | None,
+        dropped: bool,
+        **more,
+    ) -> None:
         from ..undeliverable.store import Filter
+
         now = time.time()
-        command(which=Filter(
-            destination=destination, cls=cls, cause=cause, doubt=doubt, id=name, state=None if dropped else "kept",
-            before=None if older is None else now - older, since=None if newer is None else now - newer), **more)
+        command(
+            which=Filter(
+                destination=destination,
+                cls=cls,
+                cause=cause,
+                doubt=doubt,
+                id=name,
+                state=None if dropped else "kept",
+                before=None if older is None else now - older,
+                since=None if newer is None else now - newer,
+            ),
+            **more,
+        )
+
     return with_filters
 
 
@@ -69,6 +91,7 @@
 
 def usable(command: Callable) -> Callable:
     """What the store refuses is told in one line, with exit status 2."""
+
     @wraps(command)
     def told(*words, **options) -> None:
         try:
@@ -77,18 +100,29 @@
             raise refusal(MissingPackages("requirements-console.txt", bad)) from None
         except LinkdockError as bad:
             raise refusal(bad) from None
+
     return told
 
 
 def plain(message, said: list, body: bool = False) -> dict:
     """A message as JSON tells it."""
     from ..undeliverable.facts import in_doubt, may_be_sent_again
-    told = {"id": message.id, "key": message.key, "class": message.cls, "destination": message.destination,
-            "cause": message.cause, "ended": message.ended, "until": message.until, "state": message.state,
-            "attempts": [{"number": a.number, "proof": a.proof} for a in message.attempts],
-            "in doubt": in_doubt(message, said), "not sent again because": may_be_sent_again(message, said),
-            "statements": [{"at": s.at, "who": s.who, "why": s.why, "proof": s.proof} for s in said],
-            "bytes": len(message.body)}
+
+    told = {
+        "id": message.id,
+        "key": message.key,
+        "class": message.cls,
+        "destination": message.destination,
+        "cause": message.cause,
+        "ended": message.ended,
+        "until": message.until,
+        "state": message.state,
+        "attempts": [{"number": a.number, "proof": a.proof} for a in message.attempts],
+        "in doubt": in_doubt(message, said),
+        "not sent again because": may_be_sent_again(message, said),
+        "statements": [{"at": s.at, "who": s.who, "why": s.why, "proof": s.proof} for s in said],
+        "bytes": len(message.body),
+    }
     if body:
         told["body"] = base64.b64encode(message.body).decode()
     return told
@@ -119,8 +153,10 @@
         return
     for row in told:
         doubt = "in doubt" if row["in doubt"] else row["not sent again because"] or "may be sent again"
-        click.echo(f"{row['id']}  {time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(row['ended']))}Z  "
-                   f"{row['class']}  to {row['destination']}  {row['cause']}  {len(row['attempts'])} attempts  {doubt}")
+        click.echo(
+            f"{row['id']}  {time.strftime('%Y-%m-%d %H:%M:%S', time.gmtime(row['ended']))}Z  "
+            f"{row['class']}  to {row['destination']}  {row['cause']}  {len(row['attempts'])} attempts  {doubt}"
+        )
 
 
 @undeliverable.command()
@@ -130,6 +166,7 @@
 def show(file: Path, name: str) -> None:
     """All that is known of one message, its body with it, as JSON."""
     from ..undeliverable.store import Filter
+
     store = opened(file)
     told = [plain(m, said, body=True) for m, said in store.find(Filter(id=name, state=None))]
     store.close()
@@ -160,6 +197,7 @@
     """End a message's doubt by a signed statement, which stays on record. Nothing else ends it."""
     from ..undeliverable.facts import Statement
     from ..undeliverable.store import Filter
+
     if proof is None:
         raise refusal(BadUse("say --never-ran or --ran"))
     if not why.strip() or not who.strip():
@@ -185,6 +223,7 @@
 def resend(file: Path, which, batch: str | None, who: str, yes: bool, as_json: bool) -> None:
     """Put messages in line to be sent again by the sender in whose folder FILE lies. Those in doubt never are."""
     from ..undeliverable.facts import may_be_sent_again
+
     store = opened(file, write=True)
     found = list(store.find(which))
     if yes:
@@ -237,8 +276,10 @@
             import pyarrow.parquet as pq
         except ImportError as bad:
             raise refusal(MissingPackages("requirements-lab.txt", bad, "Parquet")) from None
-        flat = [{**row, "attempts": json.dumps(row["attempts"]), "statements": json.dumps(row["statements"])}
-                for row in rows]
+        flat = [
+            {**row, "attempts": json.dumps(row["attempts"]), "statements": json.dumps(row["statements"])}
+            for row in rows
+        ]
         count = len(flat)
         pq.write_table(pa.Table.from_pylist(flat), to)
     else:
--- a/linkdock/decisions/cold.py
+++ b/linkdock/decisions/cold.py
@@ -5,16 +5,16 @@
 from .model import Link
 from .pace import RETRY_GROW, Pace
 
-RETRY_FIRST = 2.0       # first pause before a trial, in usual calls, and at most a tip span
-TRIAL_LOAD = 0.7        # part of the fall multiple that the trials of all relays may make up
-COLD_SAFETY = 0.6       # part of the fall multiple used after an outage: others return too, and chance clumps
-ROUGHNESS = 1.5         # a rough weight is up to half too high
-BAD = 0.6               # recent failure share that stops a link (an outage fails most calls), together with
-FAILS = 3               # so many failures on end: a link that fails every fourth call still earns more open
-STALE = 2.0             # tip spans without a success after which few failures do, or fulls mean shut
-PART_MOST = 1.3         # bound above of this relay's part of a route's rate: a told rate may be too low
-PART_BACK = 40.0        # tip spans in which an unused part grows e-fold: what a `full` said grows old
-PACE_BURST = 0.5        # seconds of pace that may go at once
+RETRY_FIRST = 2.0  # first pause before a trial, in usual calls, and at most a tip span
+TRIAL_LOAD = 0.7  # part of the fall multiple that the trials of all relays may make up
+COLD_SAFETY = 0.6  # part of the fall multiple used after an outage: others return too, and chance clumps
+ROUGHNESS = 1.5  # a rough weight is up to half too high
+BAD = 0.6  # recent failure share that stops a link (an outage fails most calls), together with
+FAILS = 3  # so many failures on end: a link that fails every fourth call still earns more open
+STALE = 2.0  # tip spans without a success after which few failures do, or fulls mean shut
+PART_MOST = 1.3  # bound above of this relay's part of a route's rate: a told rate may be too low
+PART_BACK = 40.0  # tip spans in which an unused part grows e-fold: what a `full` said grows old
+PACE_BURST = 0.5  # seconds of pace that may go at once
 
 
 class ColdReturn(Pace):  # what a link that was stopped, and a route at its limit, may be given
@@ -40,7 +40,7 @@
         link.down_at, link.tried_at = None, -inf
         self.down.pop(link, None)
         link.ramp, link.tokens, link.tokens_at = self.now, self.random.random(), self.now
-        link.route.part = 1 / self.knowers(link)   # all that know hold messages now
+        link.route.part = 1 / self.knowers(link)  # all that know hold messages now
         self.say(link, "returning", "answers")
 
     def cold_rate(self, link: Link, age: float) -> float:
@@ -66,7 +66,7 @@
         if link.down_at is not None:
             return max(at, route.trial_at)
         if route.woken and any(k.calls for k in self.dests[link.entry.destination].links if k.route is route):
-            return inf   # the first call after a sleep goes alone
+            return inf  # the first call after a sleep goes alone
         idle = min(max(now - route.tokens_at, 0.0), PART_BACK * self.s.tip_after)
         route.part = min(PART_MOST, route.part * (1 + idle / (PART_BACK * self.s.tip_after)))
         pace = self.rate(link) * route.part
--- a/linkdock/decisions/dispatch.py
+++ b/linkdock/decisions/dispatch.py
@@ -8,18 +8,18 @@
 from .model import Call, Dest, Link, Msg
 from .pace import FLOOR
 
-ROOM = 0.95             # part of the message store from which the least worth is refused
-EARLY = 0.3             # part of its time that is left of a message until whose end would be early
-SHARE = 0.5             # of the slots for one destination while others wait (DESIGN)
-SHARE_ALONE = 0.75      # and while none waits: a newcomer must still find a slot
-SHARED = 0.25           # of a call, that each further message in it may weigh on a cold partner
-KEEP = 8.0              # an idle connection stays for a next call expected within so many usual calls
+ROOM = 0.95  # part of the message store from which the least worth is refused
+EARLY = 0.3  # part of its time that is left of a message until whose end would be early
+SHARE = 0.5  # of the slots for one destination while others wait (DESIGN)
+SHARE_ALONE = 0.75  # and while none waits: a newcomer must still find a slot
+SHARED = 0.25  # of a call, that each further message in it may weigh on a cold partner
+KEEP = 8.0  # an idle connection stays for a next call expected within so many usual calls
 
 
 class Dispatch(Health):  # the messages that wait, and the calls made of them
     def worth(self, m: Msg, at: float) -> float:
         """What the message still earns if it is delivered then."""
-        c, age = m.rules, min(at - m.start, m.rules.deadline)   # a client may tell a time beyond it
+        c, age = m.rules, min(at - m.start, m.rules.deadline)  # a client may tell a time beyond it
         if at >= m.deadline or c.effect is Effect.KEYED and m.doubt is not None and at > m.doubt + c.window:
             return 0.0
         if age <= c.aim:
@@ -151,7 +151,7 @@
         while link.idle and link.idle[0] <= self.now:
             link.idle.popleft()
         fees, zone = self.s.zone_fee, link.entry.zone
-        price = fees[zone] if self.kind(link.entry).apart and zone < len(fees) else 0.0   # only these pay it
+        price = fees[zone] if self.kind(link.entry).apart and zone < len(fees) else 0.0  # only these pay it
         price += 0.0 if link.idle else self.s.handshake_price
         load = (len(link.calls) + 1) / max(link.entry.weight, 0.1)
         return link.down_at is not None, link.fails or link.away, price, link.tried_at, load, link.lot
--- a/linkdock/decisions/estimates.py
+++ b/linkdock/decisions/estimates.py
@@ -3,11 +3,11 @@
 from collections import deque
 from math import inf, sqrt
 
-SMOOTH = 1 / 16         # weight of one sample in p and x: about the last 16 calls of a class on a route count
-P_ZERO = 0.004          # below this p counts as none, some 50 successes after a loss: tau is the time left
-RECENT = 48             # served calls that the p95 looks back on
-FEW = 8                 # with fewer samples the p95 is a default:
-TAIL = 3.0              # p95 over mean before there are samples: that of an exponential service time
+SMOOTH = 1 / 16  # weight of one sample in p and x: about the last 16 calls of a class on a route count
+P_ZERO = 0.004  # below this p counts as none, some 50 successes after a loss: tau is the time left
+RECENT = 48  # served calls that the p95 looks back on
+FEW = 8  # with fewer samples the p95 is a default:
+TAIL = 3.0  # p95 over mean before there are samples: that of an exponential service time
 
 
 class Estimate:
--- a/linkdock/decisions/health.py
+++ b/linkdock/decisions/health.py
@@ -7,20 +7,20 @@
 from .estimates import SMOOTH, Estimate
 from .model import PROOF, Call, Link, Msg
 
-SCARCE = 0.75           # part of the slots in use from which calls on a stopped link give theirs up
-LOST = 2.0              # p95s after which a call that will hardly be answered is worth less than its slot
-SILENCE = 8.0           # waiting without answer, summed over calls in x, that makes a link suspect
-FAILS_FEW = 2           # so many stop it while it returns, or with no success lately
-BAD_SMOOTH = 0.25       # weight of one outcome in the recent failure share
-BRIEF = 4.0             # tip spans within which an answer from before a silence shows a link slow, not out
-LEFT = 0.04             # share of its limit left from which a `full` is no limit but a sick or shut partner
-PLENTY = 0.75           # and from which a success may be followed by the next call at once
-PART_UP = 1.03          # growth of this relay's part of a route's rate for each call taken on
-PART_DOWN = 0.7         # and its cut for a `full`: others push too
-PART_LEAST = 0.25       # bound below of the part, in even parts
-PART_MET = 0.7          # and where a limit was met: what a `full` says holds for that span alone
-BLOW = 3                # refusals that count at most of calls out together; of those by a limit only one
-JUST = 0.25             # seconds since a success after which a short told wait still means a limit
+SCARCE = 0.75  # part of the slots in use from which calls on a stopped link give theirs up
+LOST = 2.0  # p95s after which a call that will hardly be answered is worth less than its slot
+SILENCE = 8.0  # waiting without answer, summed over calls in x, that makes a link suspect
+FAILS_FEW = 2  # so many stop it while it returns, or with no success lately
+BAD_SMOOTH = 0.25  # weight of one outcome in the recent failure share
+BRIEF = 4.0  # tip spans within which an answer from before a silence shows a link slow, not out
+LEFT = 0.04  # share of its limit left from which a `full` is no limit but a sick or shut partner
+PLENTY = 0.75  # and from which a success may be followed by the next call at once
+PART_UP = 1.03  # growth of this relay's part of a route's rate for each call taken on
+PART_DOWN = 0.7  # and its cut for a `full`: others push too
+PART_LEAST = 0.25  # bound below of the part, in even parts
+PART_MET = 0.7  # and where a limit was met: what a `full` says holds for that span alone
+BLOW = 3  # refusals that count at most of calls out together; of those by a limit only one
+JUST = 0.25  # seconds since a success after which a short told wait still means a limit
 
 
 class Health(ColdReturn):  # what each link is held to be, by answers, failures and silence
@@ -31,10 +31,10 @@
         if link.down_at is None:
             return
         link.probe_lies = False
-        if link.silent and sent < link.down_at and self.now - sent < BRIEF * self.s.tip_after:   # only slow
+        if link.silent and sent < link.down_at and self.now - sent < BRIEF * self.s.tip_after:  # only slow
             link.down_at, link.tried_at = None, -inf
             self.down.pop(link, None)
-            e.x = max(e.x, (self.now - sent) / 2)   # the new pace, or the next call would look silent at once
+            e.x = max(e.x, (self.now - sent) / 2)  # the new pace, or the next call would look silent at once
             self.say(link, "healthy", "answers")
             return
         # What was sent before the outage and is still out will hardly be answered: it frees its key and slot.
@@ -45,7 +45,7 @@
     def failed(self, link: Link, sent: float, result: Result) -> None:
         stale = result in (Result.TIMEOUT, Result.CANCELLED) and link.last_ok > sent
         if stale or result is Result.CANCELLED or sent < link.failed_at:
-            return   # calls cut by one blow are one failure, not many on end
+            return  # calls cut by one blow are one failure, not many on end
         link.failed_at, link.fails = self.now, link.fails + 1
         link.bad += (1 - link.bad) * BAD_SMOOTH
         few = link.ramp is not None or result in PROOF and link.last_ok < self.now - STALE * self.s.tip_after
@@ -83,7 +83,7 @@
                 stopped = link.down_at is not None and call.sent < link.down_at
                 unsafe = any(m.rules.effect is Effect.UNSAFE for m in call.msgs.values())
                 patience = LOST if unsafe else 1
-                wanted = free <= 0 or not unsafe   # its slot, by another
+                wanted = free <= 0 or not unsafe  # its slot, by another
                 hopeless = stopped or unsafe and call.sent < link.passed
                 if wanted and hopeless and self.now - call.sent > patience * self.slowest(call).p95():
                     self.cancel(call)
@@ -140,24 +140,24 @@
         limited = o.report is not None and o.report.limit > 0
         if limited:
             route.limit, self.reports = o.report.limit, True
-            if o.report.left < LEFT:   # others use up what there is: no part is idle
+            if o.report.left < LEFT:  # others use up what there is: no part is idle
                 route.part = min(route.part, 1 / self.crowd(link, self.s.tip_after))
         if o.result is Result.MOOT:
             return
         route.woken = False
         fast = o.result is Result.CONNECT_FAILED and o.elapsed < self.s.connect_timeout / 2
         if fast or o.result is Result.OK and self.reports and not limited:
-            self.capped.add(link.entry.kind)   # bound by them, if others tell a limit
+            self.capped.add(link.entry.kind)  # bound by them, if others tell a limit
         kind = self.kinds[link.entry.kind]
         if o.result in (Result.OK, Result.FULL):
             kind[2] += ((o.result is Result.FULL) - kind[2]) * SMOOTH
         if o.result is Result.OK:
-            took = max(o.elapsed - route.round_trip, self.s.tick, 1e-3)   # 2y may be guessed too long
+            took = max(o.elapsed - route.round_trip, self.s.tick, 1e-3)  # 2y may be guessed too long
             e.served(took)
             self.usual[m.cls].served(took)
             dest.lost *= 1 - SMOOTH
             route.part = min(PART_MOST, route.part * PART_UP)
-            if limited and o.report.left > PLENTY:   # speaks for all relays: what is idle may be used
+            if limited and o.report.left > PLENTY:  # speaks for all relays: what is idle may be used
                 route.tokens = max(route.tokens, 1.0)
             link.idle.append(self.now + self.s.idle_close)
             self.answered(link, call.sent, e)
@@ -180,7 +180,7 @@
                     return
             link.away, link.away_since = link.away + 1, min(link.away_since, self.now)
             if fast and any(k.ready and not k.away and not k.down_at for k in dest.links if k.route is route):
-                return   # it says nothing of the others: one may have a connection to spare
+                return  # it says nothing of the others: one may have a connection to spare
             lasted, chance = self.now - link.away_since, self.random.uniform(0.5, 1.5)
             crowd = self.crowd(link, lasted + self.s.tip_after)
             least = min(route.part, (PART_MET if met else PART_LEAST) / self.s.relays)
--- a/linkdock/decisions/model.py
+++ b/linkdock/decisions/model.py
@@ -8,9 +8,9 @@
 from .. import interface as i
 from .estimates import Estimate
 
-FIRST_CALL = 1 / 8      # usual call before any was seen, in aims of its class: aims leave room for several
-FIRST_TAIL = 1 / 2      # p95 with few samples, in aims: the floor of tau is the aim then, or by x
-ASK_FIRST = 1 / 8       # first pause after a failed ask for the list, in told periods; it doubles
+FIRST_CALL = 1 / 8  # usual call before any was seen, in aims of its class: aims leave room for several
+FIRST_TAIL = 1 / 2  # p95 with few samples, in aims: the floor of tau is the aim then, or by x
+ASK_FIRST = 1 / 8  # first pause after a failed ask for the list, in told periods; it doubles
 PROOF = (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
 
 
@@ -29,7 +29,7 @@
         self.calls: list[Call] = []
         self.heard = self.last_ok = self.failed_at = self.since = self.tried_at = self.passed = -inf
         self.fails, self.bad, self.away, self.away_since = 0, 0.0, 0, inf
-        self.down_at = self.ramp = None   # since when it is stopped, or let back slowly
+        self.down_at = self.ramp = None  # since when it is stopped, or let back slowly
         self.tokens, self.tokens_at, self.lot = 0.0, 0.0, lot
         self.idle: deque[float] = deque()
 
@@ -37,7 +37,7 @@
 class Call:  # in flight: one slot and one fate for one attempt of each of its messages
     def __init__(self, link: Link, sent: float) -> None:
         self.link, self.sent, self.cancelled = link, sent, False
-        self.msgs: dict[int, Msg] = {}   # without an outcome yet
+        self.msgs: dict[int, Msg] = {}  # without an outcome yet
         self.seen: list[i.Result] = []
 
 
@@ -69,17 +69,17 @@
         self.acts: list[i.Action] = []
         self.msgs: dict[int, Msg] = {}
         self.calls: dict[tuple[int, int], tuple[Msg, Call]] = {}
-        self.dests: dict[int, Dest] = {}     # with a sleeper those awake, the longest without work first
-        self.hot: dict[int, Dest] = {}       # those for which messages wait
-        self.out: dict[Link, None] = {}      # links with calls out
-        self.down: dict[Link, None] = {}     # stopped ones
+        self.dests: dict[int, Dest] = {}  # with a sleeper those awake, the longest without work first
+        self.hot: dict[int, Dest] = {}  # those for which messages wait
+        self.out: dict[Link, None] = {}  # links with calls out
+        self.down: dict[Link, None] = {}  # stopped ones
         self.gone: deque[tuple[float, Link]] = deque()
         self.links: dict[i.Host, Link] = {}
         self.keys: dict[int, deque[Msg]] = {}
         self.rest: dict[int, float] = {}
         self.touched: dict[i.Host, Link] = {}
         self.capped: set[int] = set()
-        self.kinds: dict[int, list[float]] = {}   # partners listed, messages, share of calls refused
+        self.kinds: dict[int, list[float]] = {}  # partners listed, messages, share of calls refused
         self.usual = [Estimate(c.aim * FIRST_CALL, c.aim * FIRST_TAIL) for c in settings.classes]
         self.ask_at, self.ask_pause = None if settings.subscribe else inf, ASK_FIRST
         self.timer, self.timer_at, self.due, self.sweep_at = 0, inf, inf, inf
--- a/linkdock/decisions/pace.py
+++ b/linkdock/decisions/pace.py
@@ -6,11 +6,11 @@
 from .estimates import Estimate, tau
 from .model import Dest, Link, Msg, Route, State
 
-KR_SCALE = 4.0          # Kr in x: a repeat costs the receiver a call and us a slot; more is cautious
-FLOOR = 2.0             # tau is never under this multiple of the recent served p95 (DESIGN)
-WINDOW = 1 / 2          # of a keyed message's window its call may last: as much is left for another
-PRIOR = 0.5             # messages that the mean of its kind weighs in a partner's rate: they differ widely
-RETRY_GROW = 1.7        # growth of a trial's pause, up to a tip span: a later trial finds a return too late
+KR_SCALE = 4.0  # Kr in x: a repeat costs the receiver a call and us a slot; more is cautious
+FLOOR = 2.0  # tau is never under this multiple of the recent served p95 (DESIGN)
+WINDOW = 1 / 2  # of a keyed message's window its call may last: as much is left for another
+PRIOR = 0.5  # messages that the mean of its kind weighs in a partner's rate: they differ widely
+RETRY_GROW = 1.7  # growth of a trial's pause, up to a tip span: a later trial finds a return too late
 
 
 class Pace(State):  # how long a call may last, and how many a route is given
@@ -35,7 +35,7 @@
         floor = FLOOR * (y2 + e.p95())
         if link.down_at is not None:
             # A trial asks whether the link answers at all; each gets longer, for it may be slow only.
-            return min(left, floor * RETRY_GROW ** link.route.trials)
+            return min(left, floor * RETRY_GROW**link.route.trials)
         most = WINDOW * m.rules.window if m.rules.effect is Effect.KEYED else inf
         return min(left, max(floor, min(most, tau(e.p, e.x, y2, KR_SCALE * e.x))))
 
@@ -46,14 +46,14 @@
         they are few, and that to one call at a time; partners mostly take what comes to them.
         """
         told = link.route.limit or (link.entry.weight if self.s.told_weights else 0.0)
-        if told > 1e-9:   # below, it says nothing, and a part of it may be 0
+        if told > 1e-9:  # below, it says nothing, and a part of it may be 0
             return told
         dest, (partners, came, _) = self.dests[link.entry.destination], self.kinds[link.entry.kind]
         partners = max(self.sleeper.partners(link.entry.kind) if self.sleeper else partners, 1.0)
         spell = partners * (self.now - self.born) / self.s.relays
         mean = (came + PRIOR) / (spell + PRIOR * self.usual[0].x)
         asked = mean * (dest.came + PRIOR) / (came / partners + PRIOR)
-        if self.sleeper or not self.reports:   # one asked for little, with no limit told, waits no minutes
+        if self.sleeper or not self.reports:  # one asked for little, with no limit told, waits no minutes
             asked = max(asked, 1 / min(e.x for e in self.usual))
         return asked / max(1, sum(k.ready for k in dest.links) if self.kind(link.entry).apart else 1)
 
--- a/linkdock/decisions/relay.py
+++ b/linkdock/decisions/relay.py
@@ -8,10 +8,10 @@
 from .dispatch import Dispatch
 from .model import ASK_FIRST, PROOF, Dest, Link, Msg, Route
 
-ASK_MOST = 1 / 2        # and the most: by chance half to one and a half times, it stays inside the period
-FORGET = 30.0           # seconds after which a link that is gone, with no call out, is forgotten
-SLEEPS = 50             # destinations that fall asleep in one pass at the most
-MOST_RESTS = 4096       # keys that rest before those whose rest is over are looked for
+ASK_MOST = 1 / 2  # and the most: by chance half to one and a half times, it stays inside the period
+FORGET = 30.0  # seconds after which a link that is gone, with no call out, is forgotten
+SLEEPS = 50  # destinations that fall asleep in one pass at the most
+MOST_RESTS = 4096  # keys that rest before those whose rest is over are looked for
 
 
 class Relay(Dispatch):
@@ -20,7 +20,7 @@
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         """Take in a whole batch, then one dispatch pass; nothing else makes actions."""
         self.now, self.acts, self.due, self.born = now, [], inf, min(self.born, now)
-        for event in events:   # `on_` and the name of its type; of other events nothing is made
+        for event in events:  # `on_` and the name of its type; of other events nothing is made
             getattr(self, f"on_{type(event).__name__.lower()}", id)(event)
         self.ask()
         self.check_silence()
@@ -55,7 +55,7 @@
     def meet(self, entry: i.HostEntry) -> None:
         link = self.links.get(entry.host)
         if link is not None and (link.entry.destination, link.entry.kind) != (entry.destination, entry.kind):
-            self.gone.append((self.now + FORGET, link))   # it serves others from now on
+            self.gone.append((self.now + FORGET, link))  # it serves others from now on
             link.ready, link = False, None
         if link is None:
             dest = self.dests.setdefault(entry.destination, Dest())
@@ -91,13 +91,13 @@
             self.due = min(self.due, self.gone[0][0])
 
     def leave(self, link: Link) -> None:
-        if self.links.get(link.host) is link:   # and not a later one of that name
+        if self.links.get(link.host) is link:  # and not a later one of that name
             del self.links[link.host]
         self.down.pop(link, None)
 
     def awake(self, number: int) -> Dest:
         asleep = self.sleeper is not None and number not in self.dests
-        dest = self.dests[number] = self.dests.pop(number, None) or Dest()   # now the last in their order
+        dest = self.dests[number] = self.dests.pop(number, None) or Dest()  # now the last in their order
         dest.used_at = self.now
         if asleep:
             for entry in self.sleeper.rows(number):
@@ -131,7 +131,7 @@
             self.ask_at = self.now + self.random.uniform(0, ASK_MOST) * self.s.ask_within
         if self.ask_at <= self.now:
             self.acts.append(i.Subscribe(True))
-            self.ask_at = self.now + 1.5 * ASK_MOST * self.s.ask_within   # its reply may never come
+            self.ask_at = self.now + 1.5 * ASK_MOST * self.s.ask_within  # its reply may never come
         self.due = min(self.due, self.ask_at)
 
     def on_timerdue(self, event: i.TimerDue) -> None:
@@ -159,7 +159,7 @@
         if m is None:
             return
         link, m.call, m.tries = call.link, None, m.tries + o.tried
-        if o.wait > 0:   # each outcome of a shared call may tell one, and may come a batch later
+        if o.wait > 0:  # each outcome of a shared call may tell one, and may come a batch later
             link.route.wait_until = max(link.route.wait_until, self.now + o.wait + self.s.tick)
         del call.msgs[m.id]
         if not call.msgs:
@@ -168,7 +168,7 @@
                 del self.out[link]
             self.busy -= 1
             self.awake(m.dest).out -= 1
-        if o.result not in call.seen:   # ten outcomes of one call are one piece of evidence
+        if o.result not in call.seen:  # ten outcomes of one call are one piece of evidence
             call.seen.append(o.result)
             self.learn(link, m, call, o)
         self.touched[link.host] = link
--- a/linkdock/dormancy/disk.py
+++ b/linkdock/dormancy/disk.py
@@ -24,24 +24,32 @@
 
 log = logging.getLogger(__name__)
 
-LOAD_SLICE = 500    # rows read back between two turns
+LOAD_SLICE = 500  # rows read back between two turns
 
 
 class Dormancy:
     """Owner of the sleeper and of the snapshot's files, in `folder`, which holds `disk_bytes` at the most."""
 
-    def __init__(self, text: bytes, folder: Path, disk_bytes: int, names: list[str], table: ServerTable,
-                 clock: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        text: bytes,
+        folder: Path,
+        disk_bytes: int,
+        names: list[str],
+        table: ServerTable,
+        clock: Callable[[], float],
+    ) -> None:
         """`text` is that of dormancy.json, `names` are the classes'. Raises OptionError."""
         self.settings, self._clock = shape.read(text, disk_bytes), clock
-        self.sleeper = Sleeper(lambda: table.roster, len(names), self.settings.after_s, self.settings.most_kept,
-                               table.shown)
+        self.sleeper = Sleeper(
+            lambda: table.roster, len(names), self.settings.after_s, self.settings.most_kept, table.shown
+        )
         self._mark, self._classes = snapshot.classes_mark(names), len(names)
         self._path, self._next = folder / "learned", folder / "learned.new"
         self._failing = False
         if self.settings.snapshot:
             try:
-                self._next.unlink(missing_ok=True)   # a kill came in the middle of it
+                self._next.unlink(missing_ok=True)  # a kill came in the middle of it
             except OSError as bad:
                 raise OptionError(f"RELAY_STATE: {bad}") from None
             self._load()
@@ -84,6 +92,7 @@
                 if room < 0:
                     return
                 yield destination, data
+
         try:
             with open(self._next, "wb", buffering=0) as file:
                 for piece in snapshot.write(rows(), self._mark, self._classes, now, time.time()):
--- a/linkdock/dormancy/memory.py
+++ b/linkdock/dormancy/memory.py
@@ -13,17 +13,17 @@
 from itertools import islice
 from math import exp, inf, isfinite
 
-TRUST_TIME = 600.0   # seconds in which trust falls e-fold
-LEAST_TRUST = 0.02   # below it nothing is given but a told wait and a suspicion
-MOST_AGE = 7 * 86400.0   # seconds after which even a suspicion is forgotten: the usual care of a first call stays
+TRUST_TIME = 600.0  # seconds in which trust falls e-fold
+LEAST_TRUST = 0.02  # below it nothing is given but a told wait and a suspicion
+MOST_AGE = 7 * 86400.0  # seconds after which even a suspicion is forgotten: the usual care of a first call stays
 
-HEAD = struct.Struct("<dff")            # when it fell asleep, messages that came, share of time-outs
-LINK = struct.Struct("<IBdfeeee")       # check sum of its name, stopped, wait until, failing for, limit in parts,
+HEAD = struct.Struct("<dff")  # when it fell asleep, messages that came, share of time-outs
+LINK = struct.Struct("<IBdfeeee")  # check sum of its name, stopped, wait until, failing for, limit in parts,
 #                                         part, round trip, share of failures
-FIGURES = struct.Struct("<eee")         # x, p, p95 of one class
-MOST_HALF = 60_000.0                    # the largest that a half-precision number holds, nearly
-MOST_LINKS = 64                         # hosts of one destination that something is kept of
-LIMIT_UNIT = 0.05                       # calls a second; limits up to 3,000 keep three digits
+FIGURES = struct.Struct("<eee")  # x, p, p95 of one class
+MOST_HALF = 60_000.0  # the largest that a half-precision number holds, nearly
+MOST_LINKS = 64  # hosts of one destination that something is kept of
+LIMIT_UNIT = 0.05  # calls a second; limits up to 3,000 keep three digits
 
 
 @dataclass(slots=True)
@@ -64,8 +64,18 @@
     for host, link in islice(facts.links.items(), MOST_LINKS):
         wait = link.wait_until if isfinite(link.wait_until) else 0.0
         failing = max(0.0, facts.at - link.since) if isfinite(link.since) else 0.0
-        parts.append(LINK.pack(mark(host), link.stopped, wait, failing, _half(link.limit / LIMIT_UNIT),
-                               _half(link.part), _half(link.round_trip), _half(link.bad)))
+        parts.append(
+            LINK.pack(
+                mark(host),
+                link.stopped,
+                wait,
+                failing,
+                _half(link.limit / LIMIT_UNIT),
+                _half(link.part),
+                _half(link.round_trip),
+                _half(link.bad),
+            )
+        )
         parts += [FIGURES.pack(*map(_half, three)) for three in link.estimates]
     return b"".join(parts)
 
@@ -89,8 +99,9 @@
         numbers = (at, came, lost, wait, failing, limit, part, trip, bad, *(f for e in estimates for f in e))
         if not all(map(isfinite, numbers)) or stopped > 1:
             raise ValueError("a figure that is no number")
-        links[which] = LinkFacts(bool(stopped), wait or -inf, at - failing, limit * LIMIT_UNIT, part, trip, bad,
-                                 estimates)
+        links[which] = LinkFacts(
+            bool(stopped), wait or -inf, at - failing, limit * LIMIT_UNIT, part, trip, bad, estimates
+        )
     return Facts(at, came, lost, {}), links
 
 
--- a/linkdock/dormancy/sleeper.py
+++ b/linkdock/dormancy/sleeper.py
@@ -21,24 +21,32 @@
 from ..state.roster import Roster
 from .memory import LEAST_TRUST, Facts, LinkFacts, Store, mark
 
-LEAST_PART = 0.25   # of a route's rate, over all relays, from which the pace of a waking one starts
-SEEN = 16           # samples that full trust weighs against new ones
+LEAST_PART = 0.25  # of a route's rate, over all relays, from which the pace of a waking one starts
+SEEN = 16  # samples that full trust weighs against new ones
 STATES = {"ready": HostState.READY, "draining": HostState.DRAINING}
 
 
 class Sleeper:
     """What `decisions.Relay` asks for (interface.Sleeper). `roster` gives the list in force."""
 
-    def __init__(self, roster: Callable[[], Roster], classes: int, after: float, most: int,
-                 shown: Callable[[Iterable[Server]], Iterable[Server]] = lambda rows: rows) -> None:
+    def __init__(
+        self,
+        roster: Callable[[], Roster],
+        classes: int,
+        after: float,
+        most: int,
+        shown: Callable[[Iterable[Server]], Iterable[Server]] = lambda rows: rows,
+    ) -> None:
         self.after, self._roster, self._shown = after, roster, shown
         self.store = Store(classes, most)
 
     # --- The list.
 
     def rows(self, destination: int) -> list[HostEntry]:
-        return [HostEntry(s.name, s.destination, STATES[s.health], s.kind, s.zone, s.share, s.born)
-                for s in self._shown(self._roster().of(destination))]
+        return [
+            HostEntry(s.name, s.destination, STATES[s.health], s.kind, s.zone, s.share, s.born)
+            for s in self._shown(self._roster().of(destination))
+        ]
 
     def partners(self, kind: int) -> int:
         return self._roster().partners(kind)
@@ -53,15 +61,25 @@
             for cls in range(self.store.classes):
                 e = route.estimates.get(cls)
                 figures.append((e.x, e.p, e.p95()) if e is not None and e.seen else (0.0, 0.0, 0.0))
-            links[link.host] = LinkFacts(link.down_at is not None or link.ramp is not None, route.wait_until,
-                                         link.since, route.limit, route.part, route.round_trip, link.bad, figures)
+            links[link.host] = LinkFacts(
+                link.down_at is not None or link.ramp is not None,
+                route.wait_until,
+                link.since,
+                route.limit,
+                route.part,
+                route.round_trip,
+                link.bad,
+                figures,
+            )
         return Facts(now, dest.came, dest.lost, links)
 
     def keep(self, at: float, destination: int, dest: Any) -> None:
         """One that has learned nothing leaves nothing."""
         facts = self.facts(at, dest)
-        if any(link.stopped or link.limit or link.wait_until > at or any(x for x, _, _ in link.estimates)
-               for link in facts.links.values()):
+        if any(
+            link.stopped or link.limit or link.wait_until > at or any(x for x, _, _ in link.estimates)
+            for link in facts.links.values()
+        ):
             self.store.keep(destination, facts)
 
     def wake(self, relay: Any, destination: int, dest: Any) -> None:
@@ -86,6 +104,6 @@
                     e = relay.estimate(route, cls)
                     e.x, e.p, e.seen = e.x + trust * (x - e.x), p * trust, int(trust * SEEN)
                     e.default += trust * (p95 - e.default)
-        route.woken, route.tokens_at = True, relay.now   # its idle time is no time in which a part grew
+        route.woken, route.tokens_at = True, relay.now  # its idle time is no time in which a part grew
         if old.stopped:
             relay.suspect(link, min(old.since, relay.now))
--- a/linkdock/dormancy/snapshot.py
+++ b/linkdock/dormancy/snapshot.py
@@ -21,8 +21,8 @@
 START = struct.Struct("<8sHIHd")
 ROW = struct.Struct("<qH")
 TAIL = struct.Struct("<I")
-SLICE = 100              # rows that one piece holds: well under 2 ms
-AHEAD = 5.0              # seconds that a snapshot's time may lie in the future: clocks are set
+SLICE = 100  # rows that one piece holds: well under 2 ms
+AHEAD = 5.0  # seconds that a snapshot's time may lie in the future: clocks are set
 MOST_ROW = 16 * 1024
 
 
@@ -77,7 +77,7 @@
         raise SnapshotError("no snapshot of ours")
     if version != VERSION:
         raise SnapshotError(f"version {version}, and only {VERSION} can be read")
-    if zlib.crc32(data[:-TAIL.size]) != TAIL.unpack_from(data, len(data) - TAIL.size)[0]:
+    if zlib.crc32(data[: -TAIL.size]) != TAIL.unpack_from(data, len(data) - TAIL.size)[0]:
         raise SnapshotError("torn: its check sum is wrong")
     if told != mark or count_of != classes:
         raise SnapshotError("written under other classes")
@@ -97,5 +97,5 @@
         place += ROW.size
         if length > MOST_ROW or place + length > end:
             raise SnapshotError("a row does not fit")
-        yield destination, _shift(data[place:place + length], classes, by)
+        yield destination, _shift(data[place : place + length], classes, by)
         place += length
--- a/linkdock/facade.py
+++ b/linkdock/facade.py
@@ -22,9 +22,15 @@
 NEVER_RAN = frozenset({TURNED_AWAY, NOT_CONNECTED, NOT_SENT})
 
 _RESULTS = {
-    DELIVERED: i.Result.OK, ERROR: i.Result.ERROR, TURNED_AWAY: i.Result.FULL, TIMED_OUT: i.Result.TIMEOUT,
-    NOT_CONNECTED: i.Result.CONNECT_FAILED, RESET: i.Result.RESET, CANCELLED: i.Result.CANCELLED,
-    NOT_SENT: i.Result.MOOT}
+    DELIVERED: i.Result.OK,
+    ERROR: i.Result.ERROR,
+    TURNED_AWAY: i.Result.FULL,
+    TIMED_OUT: i.Result.TIMEOUT,
+    NOT_CONNECTED: i.Result.CONNECT_FAILED,
+    RESET: i.Result.RESET,
+    CANCELLED: i.Result.CANCELLED,
+    NOT_SENT: i.Result.MOOT,
+}
 _STATES = {"ready": i.HostState.READY, "draining": i.HostState.DRAINING, "gone": i.HostState.GONE}
 _LISTS = {"kept": i.ListKind.CACHED, "whole": i.ListKind.FULL, "changes": i.ListKind.DELTA}
 
@@ -40,11 +46,12 @@
     zone: int = 0
     share: float = 1.0
     born: float = 0.0
-    out_since: float | None = None   # it comes back cold from being out since then, on the loop's clock
+    out_since: float | None = None  # it comes back cold from being out since then, on the loop's clock
 
 
 # --- Facts, for `report`.
 
+
 class Table(NamedTuple):
     """News of the server table: as `kept` from before, the `whole` of it, or `changes`."""
 
@@ -65,7 +72,7 @@
     held: bool = False
     used: int = 0
     tenant: int = 0
-    tries: int | None = None   # how many of those count as attempts; none told: all
+    tries: int | None = None  # how many of those count as attempts; none told: all
 
 
 class End(NamedTuple):
@@ -79,7 +86,7 @@
     wait: float = 0.0
     load: tuple[float, float] | None = None
     over: bool = False
-    tried: bool = True   # whether it counts as one of the request's attempts
+    tried: bool = True  # whether it counts as one of the request's attempts
 
 
 class Withdraw(NamedTuple):
@@ -90,6 +97,7 @@
 
 # --- Orders, from `pick`.
 
+
 class Item(NamedTuple):
     """One request in a dispatch; `limit` is how long it may last in seconds, 0 for the time left."""
 
@@ -145,8 +153,8 @@
     server: str
     limit: float
     part: float
-    ramp: float | None    # since when it comes back, cold
-    since: float | None   # and since when it had been out
+    ramp: float | None  # since when it comes back, cold
+    since: float | None  # and since when it had been out
 
 
 @dataclass(slots=True)
@@ -172,8 +180,8 @@
         self._numbers: dict[int, _Known] = {}
         self._last = 0
         self._bell: tuple[float, int] | None = None
-        self._untold: list[Learned] = []   # of an older process, until the list is in
-        self.wake: Callable[[], None] | None = None   # called whenever there is something for a tick
+        self._untold: list[Learned] = []  # of an older process, until the list is in
+        self.wake: Callable[[], None] | None = None  # called whenever there is something for a tick
 
     # --- In.
 
@@ -192,7 +200,8 @@
                     servers = [s for s in servers if s.destination in awake] if how == "changes" else []
                 entries = [
                     i.HostEntry(s.name, s.destination, _STATES[s.health], s.kind, s.zone, s.share, s.born, s.out_since)
-                    for s in servers]
+                    for s in servers
+                ]
                 if self._sleeper is not None and how != "changes":
                     entries = [row for number in awake for row in self._sleeper.rows(number)]
                 self._facts.append(i.Hosts(_LISTS[how], entries, version))
@@ -207,9 +216,19 @@
                     return
                 known.out.discard(attempt)
                 done = known.over = known.over or over or how == DELIVERED
-                self._facts.append(i.Outcome(
-                    known.number, attempt, server, _RESULTS[how], elapsed, done, wait,
-                    None if load is None else i.Report(*load), tried))
+                self._facts.append(
+                    i.Outcome(
+                        known.number,
+                        attempt,
+                        server,
+                        _RESULTS[how],
+                        elapsed,
+                        done,
+                        wait,
+                        None if load is None else i.Report(*load),
+                        tried,
+                    )
+                )
                 self._forget(known)
             case Withdraw(request):
                 known = self._known.get(request)
@@ -295,9 +314,12 @@
 
     def learned(self, most: int) -> list[Learned]:
         """What another process of this sender should know of servers: limits, paces, and returns that are not over."""
-        known = (Learned(link.host, link.route.limit, link.route.part, link.ramp, link.since)
-                 for dest in self._relay.dests.values() for link in dest.links
-                 if link.route.limit or link.ramp is not None)
+        known = (
+            Learned(link.host, link.route.limit, link.route.part, link.ramp, link.since)
+            for dest in self._relay.dests.values()
+            for link in dest.links
+            if link.route.limit or link.ramp is not None
+        )
         return list(islice(known, most))
 
     def told(self, learned: Iterable[Learned]) -> None:
--- a/linkdock/failover/flow.py
+++ b/linkdock/failover/flow.py
@@ -10,8 +10,8 @@
 from math import floor
 from typing import NamedTuple
 
-SAME_REGION, FURTHER = 1, 3   # cost of a unit; FURTHER within the triangle: no chain beats the direct way
-RESERVE = 0.05                # part of a zone's capacity that others never fill
+SAME_REGION, FURTHER = 1, 3  # cost of a unit; FURTHER within the triangle: no chain beats the direct way
+RESERVE = 0.05  # part of a zone's capacity that others never fill
 
 
 class Flow(NamedTuple):
@@ -32,8 +32,13 @@
     return SAME_REGION if regions.get(a, -1) == regions.get(b, -2) else FURTHER
 
 
-def spread(demand: Mapping[int, int], near: Mapping[int, int], far: Mapping[int, int],
-           regions: Mapping[int, int], reserve: float = RESERVE) -> Flow:
+def spread(
+    demand: Mapping[int, int],
+    near: Mapping[int, int],
+    far: Mapping[int, int],
+    regions: Mapping[int, int],
+    reserve: float = RESERVE,
+) -> Flow:
     """Units of demand by zone; `near` what each zone can take of its own, `far` what it can take in all for others.
 
     Others get at most `far` less the reserve and less what stays near.
@@ -54,8 +59,9 @@
     return Flow(units, {zone: many for zone, many in left.items() if many}, cost, spare)
 
 
-def transport(supply: Mapping[int, int], room: Mapping[int, int],
-              costs: Mapping[tuple[int, int], int]) -> tuple[dict[tuple[int, int], int], int]:
+def transport(
+    supply: Mapping[int, int], room: Mapping[int, int], costs: Mapping[tuple[int, int], int]
+) -> tuple[dict[tuple[int, int], int], int]:
     """As much as fits from supply into room over the given pairs, at the least cost. Ties go by number."""
     left, free = dict(supply), dict(room)
     moved: dict[tuple[int, int], int] = {}
@@ -63,7 +69,8 @@
     while True:
         # Cheapest way from any supply left: forward over a pair, back over one that carries something.
         way: dict[tuple[str, int], tuple[int, tuple[str, int] | None]] = {
-            ("from", a): (0, None) for a in sorted(left) if left[a] > 0}
+            ("from", a): (0, None) for a in sorted(left) if left[a] > 0
+        }
         for _ in range(len(left) + len(free)):
             changed = False
             for a, b in pairs:
--- a/linkdock/failover/judge.py
+++ b/linkdock/failover/judge.py
@@ -18,31 +18,31 @@
 from .returning import Rules
 from .shares import SLOTS, remap
 
-STALE = 2.0            # seconds after which a report is no evidence any more
-SILENT = 1.2           # and in which a zone is silent if none of its processes is heard
-REMEMBERED = 10.0      # and after which its demand is not counted; told limits count for as long as it is kept
-CUT_WEIGHT = 0.1       # what the word of a process that is cut off weighs
-ENOUGH = 3.0           # weight of observers for a shift, in
-MOST = 0.5             # part of all that are heard outside the zone
-ZONES = 2              # so many zones at least, each with
-HEARD = 1.0            # so much
-CONFIRM = 0.5          # seconds that a zone must be suspect before it is out
-CALM = 2.0             # seconds without evidence after which a suspect one serves again
-HOLD = 10.0            # seconds of good answers before a return; twice that for each relapse
+STALE = 2.0  # seconds after which a report is no evidence any more
+SILENT = 1.2  # and in which a zone is silent if none of its processes is heard
+REMEMBERED = 10.0  # and after which its demand is not counted; told limits count for as long as it is kept
+CUT_WEIGHT = 0.1  # what the word of a process that is cut off weighs
+ENOUGH = 3.0  # weight of observers for a shift, in
+MOST = 0.5  # part of all that are heard outside the zone
+ZONES = 2  # so many zones at least, each with
+HEARD = 1.0  # so much
+CONFIRM = 0.5  # seconds that a zone must be suspect before it is out
+CALM = 2.0  # seconds without evidence after which a suspect one serves again
+HOLD = 10.0  # seconds of good answers before a return; twice that for each relapse
 MOST_HOLD = 160.0
-DRAINED = 0.5          # seconds of a zone's limit that may wait when its return is over
-MOST_RETURN = 60.0     # seconds after which it is over in any case
-STEADY = 30.0          # seconds of service after which an incident is over
-REROUTE = 2.0          # seconds between two changes of routes without a change of states
-WORTH = 0.05           # part of a zone's demand that must move for one
-UNIT = 0.1             # messages a second that one unit of the flow stands for
-MOST_STANDINGS = 256   # in one decision, which is one entry of the log; beyond, zones stay serving
-MOST_ROUTES = 160      # beyond, demand stays where it is
+DRAINED = 0.5  # seconds of a zone's limit that may wait when its return is over
+MOST_RETURN = 60.0  # seconds after which it is over in any case
+STEADY = 30.0  # seconds of service after which an incident is over
+REROUTE = 2.0  # seconds between two changes of routes without a change of states
+WORTH = 0.05  # part of a zone's demand that must move for one
+UNIT = 0.1  # messages a second that one unit of the flow stands for
+MOST_STANDINGS = 256  # in one decision, which is one entry of the log; beyond, zones stay serving
+MOST_ROUTES = 160  # beyond, demand stays where it is
 
 
 class State(IntEnum):
     SERVING = 0
-    SUSPECT = 1     # all processes try it, and nothing is moved
+    SUSPECT = 1  # all processes try it, and nothing is moved
     OUT = 2
     RETURNING = 3
 
@@ -98,8 +98,9 @@
 
     def slots(self, destination: int, zone: int) -> bytes:
         """Of a process's own zone: the zone that each slot goes to."""
-        return next((r.slots for r in self.routes if (r.destination, r.zone) == (destination, zone)),
-                    bytes([zone]) * SLOTS)
+        return next(
+            (r.slots for r in self.routes if (r.destination, r.zone) == (destination, zone)), bytes([zone]) * SLOTS
+        )
 
 
 class Known(NamedTuple):
@@ -116,8 +117,10 @@
 
 def rebased(decision: Decision, now: float) -> Decision:
     """Of another decider, on this one's clock: its ages go on from `now`, evidence counts anew."""
-    standings = tuple(msgspec.structs.replace(s, since=now - max(0.0, decision.at - s.since), good_since=-1.0,
-                                              bad_since=-1.0) for s in decision.standings)
+    standings = tuple(
+        msgspec.structs.replace(s, since=now - max(0.0, decision.at - s.since), good_since=-1.0, bad_since=-1.0)
+        for s in decision.standings
+    )
     return msgspec.structs.replace(decision, at=now, routed_at=now, standings=standings)
 
 
@@ -130,7 +133,7 @@
     bad_out: float
     good_zones: int
     bad_zones: int
-    outside: float     # of all that are heard outside it, whether they have tried it or not
+    outside: float  # of all that are heard outside it, whether they have tried it or not
 
     def doubtful(self) -> bool:
         return self.bad_in + self.bad_out >= HEARD and (self.bad_in > self.good_in or self.bad_out > self.good_out)
@@ -140,23 +143,29 @@
 
         Danger: on a quiet day few try a far zone, and a few lost trials must not be the word of all.
         """
-        return (self.bad_in + self.bad_out >= ENOUGH and self.bad_zones >= ZONES
-                and self.bad_out >= max(2 * self.good_out, MOST * self.outside))
+        return (
+            self.bad_in + self.bad_out >= ENOUGH
+            and self.bad_zones >= ZONES
+            and self.bad_out >= max(2 * self.good_out, MOST * self.outside)
+        )
 
     def serves(self) -> bool:
-        return (self.good_in + self.good_out >= ENOUGH and self.good_zones >= ZONES
-                and self.bad_in + self.bad_out <= (self.good_in + self.good_out) / 4)
+        return (
+            self.good_in + self.good_out >= ENOUGH
+            and self.good_zones >= ZONES
+            and self.bad_in + self.bad_out <= (self.good_in + self.good_out) / 4
+        )
 
 
 class View(NamedTuple):
     """What the reports come to, by destination and zone."""
 
     evidence: dict[tuple[int, int], Evidence]
-    limits: dict[tuple[int, int], float]     # messages a second
+    limits: dict[tuple[int, int], float]  # messages a second
     demand: dict[tuple[int, int], float]
-    waiting: dict[tuple[int, int], int]      # messages, by destination and the zone of those who hold them
-    silent: frozenset[int]                   # zones none of whose processes is heard, while others are
-    heard: int                               # observers with fresh reports, weighing full
+    waiting: dict[tuple[int, int], int]  # messages, by destination and the zone of those who hold them
+    silent: frozenset[int]  # zones none of whose processes is heard, while others are
+    heard: int  # observers with fresh reports, weighing full
     heard_zones: int
 
 
@@ -194,24 +203,34 @@
                 weights[verdict < 0] += weight
     heard = {zone for zone, fresh in zones.items() if any(fresh)}
     outside = {key: sum(w for z, w in weights_in.items() if z != key[1]) for key in verdicts}
-    return View({key: _sum(key[1], by, outside[key]) for key, by in verdicts.items()},
-                {key: median_low(told) for key, told in limits.items()}, demand, waiting,
-                frozenset(set(zones) - heard if 2 * len(heard) > len(zones) else ()),
-                len(sound), len(set(sound)))
+    return View(
+        {key: _sum(key[1], by, outside[key]) for key, by in verdicts.items()},
+        {key: median_low(told) for key, told in limits.items()},
+        demand,
+        waiting,
+        frozenset(set(zones) - heard if 2 * len(heard) > len(zones) else ()),
+        len(sound),
+        len(set(sound)),
+    )
 
 
 def _sum(zone: int, by: Mapping[int, list[float]], outside: float) -> Evidence:
     good_in, bad_in = by.get(zone, (0.0, 0.0))
-    return Evidence(good_in, sum(g for z, (g, _) in by.items() if z != zone), bad_in,
-                    sum(b for z, (_, b) in by.items() if z != zone),
-                    sum(g >= HEARD for g, _ in by.values()), sum(b >= HEARD for _, b in by.values()), outside)
+    return Evidence(
+        good_in,
+        sum(g for z, (g, _) in by.items() if z != zone),
+        bad_in,
+        sum(b for z, (_, b) in by.items() if z != zone),
+        sum(g >= HEARD for g, _ in by.values()),
+        sum(b >= HEARD for _, b in by.values()),
+        outside,
+    )
 
 
 NOTHING = Evidence(0.0, 0.0, 0.0, 0.0, 0, 0, 0.0)
 
 
-def judge(last: Decision, known: Iterable[Known], now: float, regions: Mapping[int, int],
-          rules: Rules) -> Decision:
+def judge(last: Decision, known: Iterable[Known], now: float, regions: Mapping[int, int], rules: Rules) -> Decision:
     """The next decision; its epoch is one more if a state or a route is another than before.
 
     `regions` has each zone's region; by `rules` a returning zone is given work.
@@ -219,9 +238,15 @@
     view = look(known, now)
     standings = {(s.destination, s.zone): s for s in last.standings}
     for key in sorted({*view.evidence, *view.limits, *standings}):
-        step = _step(standings.get(key) or Standing(*key, State.SERVING, now - STEADY),
-                     view.evidence.get(key, NOTHING), key[1] in view.silent, _alone(key, standings, view),
-                         view.waiting.get(key, 0) > DRAINED * view.limits.get(key, 0.0), now, rules)
+        step = _step(
+            standings.get(key) or Standing(*key, State.SERVING, now - STEADY),
+            view.evidence.get(key, NOTHING),
+            key[1] in view.silent,
+            _alone(key, standings, view),
+            view.waiting.get(key, 0) > DRAINED * view.limits.get(key, 0.0),
+            now,
+            rules,
+        )
         if step.state is State.SERVING and now - step.since >= STEADY:
             standings.pop(key, None)
         elif key in standings or len(standings) < MOST_STANDINGS:
@@ -231,8 +256,9 @@
     before = {(s.destination, s.zone): s.state for s in last.standings if s.state is not State.SERVING}
     moved = {k for k in {*states, *before} if states.get(k) != before.get(k)}
     routes, routed_at = last.routes, last.routed_at
-    shifted = any(State.OUT in (states.get(k), before.get(k)) or State.RETURNING in (states.get(k), before.get(k))
-                  for k in moved)
+    shifted = any(
+        State.OUT in (states.get(k), before.get(k)) or State.RETURNING in (states.get(k), before.get(k)) for k in moved
+    )
     if shifted or now - last.routed_at >= REROUTE:
         wanted, routed_at = route(kept, view, now, regions, last.routes, rules), now
         if shifted or _differ(last.routes, wanted):
@@ -247,8 +273,9 @@
     return all((s := standings.get(k)) is not None and s.state is State.OUT for k in others)
 
 
-def _step(s: Standing, seen: Evidence, silent: bool, alone: bool, held_back: bool, now: float,
-          rules: Rules) -> Standing:
+def _step(
+    s: Standing, seen: Evidence, silent: bool, alone: bool, held_back: bool, now: float, rules: Rules
+) -> Standing:
     fails, serves = seen.fails(), seen.serves()
     bad_since = (s.bad_since if s.bad_since >= 0 else now) if fails else -1.0
     good_since = (s.good_since if s.good_since >= 0 else now) if serves else -1.0
@@ -257,11 +284,12 @@
 
     def to(state: State, **more: object) -> Standing:
         return msgspec.structs.replace(s, state=state, since=now, **more)
+
     if s.state is State.SERVING:
         return to(State.SUSPECT) if fails or silent or seen.doubtful() else s
     if s.state is State.SUSPECT:
         if fails and held >= CONFIRM:
-            relapse = s.shifts >= 2   # away and back once already: a new incident, with a longer hold
+            relapse = s.shifts >= 2  # away and back once already: a new incident, with a longer hold
             inside = seen.bad_in < HEARD or seen.good_in >= seen.bad_in
             return to(State.OUT, shifts=1, relapses=s.relapses + relapse, inside=inside)
         if fails or silent or seen.doubtful():
@@ -271,7 +299,7 @@
     if s.state is State.OUT:
         if s.inside and seen.bad_in >= max(HEARD, 2 * seen.good_in):
             s = msgspec.structs.replace(s, inside=False)
-        hold = CALM if alone else min(MOST_HOLD, HOLD * 2 ** s.relapses)
+        hold = CALM if alone else min(MOST_HOLD, HOLD * 2**s.relapses)
         if not s.by_hand and serves and now - good_since >= hold:
             return to(State.RETURNING, shifts=2)
         return s
@@ -289,8 +317,9 @@
     return 0.0 if s.state is State.OUT else rules.allowance(limit, now - s.since)
 
 
-def plan(standings: Iterable[Standing], view: View, now: float, regions: Mapping[int, int],
-         rules: Rules) -> dict[int, flow.Flow]:
+def plan(
+    standings: Iterable[Standing], view: View, now: float, regions: Mapping[int, int], rules: Rules
+) -> dict[int, flow.Flow]:
     """The flow of each destination, in units of UNIT messages a second."""
     held = {(s.destination, s.zone): s for s in standings}
     flows = {}
@@ -305,13 +334,19 @@
             inside = s is not None and s.state is not State.SERVING and s.inside and not s.by_hand
             near[zone] = int(limit / UNIT) if inside else far[zone]
             if limit == 0 and s is None:
-                near[zone] = demand[zone]   # nothing was told: what is near stays there
+                near[zone] = demand[zone]  # nothing was told: what is near stays there
         flows[destination] = flow.spread(demand, near, far, regions)
     return flows
 
 
-def route(standings: Iterable[Standing], view: View, now: float, regions: Mapping[int, int],
-          last: Iterable[Route], rules: Rules) -> tuple[Route, ...]:
+def route(
+    standings: Iterable[Standing],
+    view: View,
+    now: float,
+    regions: Mapping[int, int],
+    last: Iterable[Route],
+    rules: Rules,
+) -> tuple[Route, ...]:
     """The routes of all zones whose demand does not stay there, slots as near to the last ones as can be."""
     old = {(r.destination, r.zone): r.slots for r in last}
     routes = []
@@ -320,8 +355,11 @@
             total = sum(n for (a, _), n in found.units.items() if a == zone) + found.unserved.get(zone, 0)
             shares = {b: n / total for (a, b), n in found.units.items() if a == zone and b != zone and total}
             slots = remap(old.get((destination, zone), bytes([zone]) * SLOTS), shares, zone)
-            pace = tuple((b, round(n / total * found.room[b] / _into(found, b), 4))
-                         for (a, b), n in sorted(found.units.items()) if a == zone and b != zone)
+            pace = tuple(
+                (b, round(n / total * found.room[b] / _into(found, b), 4))
+                for (a, b), n in sorted(found.units.items())
+                if a == zone and b != zone
+            )
             unserved = round(found.unserved.get(zone, 0) * UNIT, 1)
             if slots != bytes([zone]) * SLOTS or unserved:
                 routes.append(Route(destination, zone, slots, unserved, pace))
@@ -364,4 +402,3 @@
 def cells_to_try(decision: Decision) -> list[tuple[int, int]]:
     """The zones that every process tries now, each 0.25 s, with a connection and no message."""
     return [(s.destination, s.zone) for s in decision.standings if s.state is not State.SERVING]
-
--- a/linkdock/failover/observe.py
+++ b/linkdock/failover/observe.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-AGE = 1.5              # seconds in which what was seen of calls counts for e-fold less
-DEMAND_AGE = 5.0       # and what came in
-FORGET = 60.0          # seconds after which a told limit, or a cell without news, is not told any more
-MOST_KEPT = 4096       # cells, and destinations with a demand
-MOST_TOLD = 256        # of each in one report: the troubled first, then the busy
-FEW_MEMBERS = 0.5      # share of the members seen, below which a process holds itself to be cut off
-FAILS = 2              # failures on end from which a process says that a zone fails
-SOME = 0.3             # aged calls below which a cell says nothing
+AGE = 1.5  # seconds in which what was seen of calls counts for e-fold less
+DEMAND_AGE = 5.0  # and what came in
+FORGET = 60.0  # seconds after which a told limit, or a cell without news, is not told any more
+MOST_KEPT = 4096  # cells, and destinations with a demand
+MOST_TOLD = 256  # of each in one report: the troubled first, then the busy
+FEW_MEMBERS = 0.5  # share of the members seen, below which a process holds itself to be cut off
+FAILS = 2  # failures on end from which a process says that a zone fails
+SOME = 0.3  # aged calls below which a cell says nothing
 
 GOOD, BAD, REFUSED = "good", "bad", "refused"
 
@@ -104,8 +104,8 @@
 
     def __init__(self, name: str, zone: int) -> None:
         self.name, self.zone, self._number = name, zone, 0
-        self._cells: dict[tuple[int, int], _Cell] = {}    # the longest without news first
-        self._demand: dict[int, list[float]] = {}         # rate, and as of when
+        self._cells: dict[tuple[int, int], _Cell] = {}  # the longest without news first
+        self._demand: dict[int, list[float]] = {}  # rate, and as of when
 
     def came(self, now: float, destination: int, messages: float = 1.0) -> None:
         """Messages were handed in."""
@@ -152,15 +152,35 @@
             part = exp(-max(0.0, now - cell.at) / AGE)
             silent = now - cell.answered_at if cell.answered_at > -inf else -1.0
             limit = cell.limit if now - cell.limit_at <= FORGET else 0.0
-            cells.append(Cell(destination, zone, round(cell.good * part, 2), round(cell.bad * part, 2),
-                              round(cell.refused * part, 2), cell.fails, round(silent, 2), round(limit, 2),
-                              round(max(0.0, cell.wait_until - now), 2)))
+            cells.append(
+                Cell(
+                    destination,
+                    zone,
+                    round(cell.good * part, 2),
+                    round(cell.bad * part, 2),
+                    round(cell.refused * part, 2),
+                    cell.fails,
+                    round(silent, 2),
+                    round(limit, 2),
+                    round(max(0.0, cell.wait_until - now), 2),
+                )
+            )
         told = sorted(cells, key=lambda c: (-c.fails, -(c.good + c.bad + c.refused), c.destination, c.zone))
-        demand = [(d, round(self.demand(now, d), 2), waits.get(d, 0))
-                  for d, (_, at) in self._demand.items() if now - at <= FORGET]
+        demand = [
+            (d, round(self.demand(now, d), 2), waits.get(d, 0))
+            for d, (_, at) in self._demand.items()
+            if now - at <= FORGET
+        ]
         demand.sort(key=lambda pair: (-pair[1], pair[0]))
-        return Report(self.name, self.zone, self._number, cut_off(cells, members), round(members, 2),
-                      tuple(demand[:MOST_TOLD]), tuple(told[:MOST_TOLD]))
+        return Report(
+            self.name,
+            self.zone,
+            self._number,
+            cut_off(cells, members),
+            round(members, 2),
+            tuple(demand[:MOST_TOLD]),
+            tuple(told[:MOST_TOLD]),
+        )
 
 
 def cut_off(cells: list[Cell], members: float) -> bool:
--- a/linkdock/failover/returning.py
+++ b/linkdock/failover/returning.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-SAFETY = 0.6      # part of the fall multiple that is used, as for one sender's cold link
-TERM = 1.0        # seconds of a lease by the decider's clock; never renewed, a new one is asked for
-DRIFT = 0.02      # part by which two clocks may differ over a term
-LEAST = 4.0       # messages in a tip span that a lease is worth at least: each holder may be one over its rate
+SAFETY = 0.6  # part of the fall multiple that is used, as for one sender's cold link
+TERM = 1.0  # seconds of a lease by the decider's clock; never renewed, a new one is asked for
+DRIFT = 0.02  # part by which two clocks may differ over a term
+LEAST = 4.0  # messages in a tip span that a lease is worth at least: each holder may be one over its rate
 MOST_LEASES = 512
 
 
@@ -69,11 +69,11 @@
     served = dict(ledger.served)
     asks = {h: w - has.get(h, 0.0) for h, w in wants.items() if w - has.get(h, 0.0) > 1e-9}
     # A small want is rounded up to the least lease: unused, it ends by itself, or is given back.
-    order = sorted(asks, key=lambda h: (served.get(h, 0), h))[:MOST_LEASES - len(live)]
-    order = order[:max(0, int(free / least + 1e-9))]
+    order = sorted(asks, key=lambda h: (served.get(h, 0), h))[: MOST_LEASES - len(live)]
+    order = order[: max(0, int(free / least + 1e-9))]
     asks = {h: max(least, asks[h]) for h in order}
     given, token, left = {}, ledger.token, free
-    for at, holder in enumerate(sorted(order, key=lambda h: (asks[h], h))):   # the smallest want first: max-min fair
+    for at, holder in enumerate(sorted(order, key=lambda h: (asks[h], h))):  # the smallest want first: max-min fair
         given[holder] = min(asks[holder], left / (len(order) - at))
         left -= given[holder]
     leases = list(live)
@@ -87,8 +87,9 @@
 
 def give_back(ledger: Ledger, holder: str, token: int) -> Ledger:
     """The holder itself says that it sends nothing under this lease any more."""
-    return msgspec.structs.replace(ledger, leases=tuple(
-        lease for lease in ledger.leases if (lease.holder, lease.token) != (holder, token)))
+    return msgspec.structs.replace(
+        ledger, leases=tuple(lease for lease in ledger.leases if (lease.holder, lease.token) != (holder, token))
+    )
 
 
 class Spender:
--- a/linkdock/failover/shares.py
+++ b/linkdock/failover/shares.py
@@ -11,8 +11,8 @@
 from math import floor
 from typing import Protocol, TypeVar
 
-SLOTS = 256        # 0.4 % of a zone's demand each
-MOST_ZONES = 256   # a zone is one byte of a slot
+SLOTS = 256  # 0.4 % of a zone's demand each
+MOST_ZONES = 256  # a zone is one byte of a slot
 
 
 def slot_of(message: str) -> int:
@@ -109,5 +109,7 @@
         """`out` says whether a zone is out at a destination. Only `ready` rows are changed: nothing is ever opened."""
         for row in rows:
             drains = row.health == "ready" and not self.split(row.kind) and out(row.destination, row.zone)
-            yield row._replace(destination=self.number(row.destination, row.kind, row.zone),
-                               health="draining" if drains else row.health)
+            yield row._replace(
+                destination=self.number(row.destination, row.kind, row.zone),
+                health="draining" if drains else row.health,
+            )
--- a/linkdock/interface.py
+++ b/linkdock/interface.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 Host = Hashable
-GROUPS = ("all", "zone")   # whose endpoints drop repeats of a keyed message
-MOST_NOTE = 256   # bytes that one note to a sibling may hold
+GROUPS = ("all", "zone")  # whose endpoints drop repeats of a keyed message
+MOST_NOTE = 256  # bytes that one note to a sibling may hold
 
 
 class Effect(Enum):
@@ -129,7 +129,7 @@
         for name in ("slots", "max_open", "max_attempts", "relays"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name} must be at least 1")
-        for name in ("fall_multiple", "tip_after"):   # paces and spans are multiples of these
+        for name in ("fall_multiple", "tip_after"):  # paces and spans are multiples of these
             if not 0 < getattr(self, name) < inf:
                 raise ValueError(f"{name} must be above 0 and finite")
         if not self.classes:
@@ -151,7 +151,7 @@
     zone: int = 0
     weight: float = 1.0
     up_since: float = 0.0
-    out_since: float | None = None   # known to have been out since then: it is met as from an outage
+    out_since: float | None = None  # known to have been out since then: it is met as from an outage
 
 
 @dataclass(slots=True)
@@ -183,8 +183,8 @@
     key: int = 0
     again: bool = False
     orphaned: bool = False
-    attempts: int = 0   # spent on it before this relay started,
-    tries: int | None = None   # of which so many count against `max_attempts`; none told: all
+    attempts: int = 0  # spent on it before this relay started,
+    tries: int | None = None  # of which so many count against `max_attempts`; none told: all
 
 
 @dataclass(slots=True)
@@ -199,7 +199,7 @@
     finished: bool = False
     wait: float = 0.0
     report: Report | None = None
-    tried: bool = True   # whether it counts against `max_attempts`
+    tried: bool = True  # whether it counts against `max_attempts`
 
 
 @dataclass(slots=True)
@@ -247,7 +247,7 @@
 class Sleeper(Protocol):
     """Who has the list of hosts, and what was learned of destinations without work."""
 
-    after: float   # seconds without work after which a destination falls asleep
+    after: float  # seconds without work after which a destination falls asleep
 
     def rows(self, destination: int) -> list[HostEntry]:
         """What is listed for it."""
@@ -352,4 +352,4 @@
             raise ValueError(f"data must hold at most {MOST_NOTE} bytes")
 
 
-Action = (Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Log | Subscribe | FetchList | Tell)
+Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Log | Subscribe | FetchList | Tell
--- a/linkdock/lab/connections.py
+++ b/linkdock/lab/connections.py
@@ -26,7 +26,7 @@
 from ..connections.orders import ROUND, Action, Fail, Open, Ticket, Use
 from .idle import Positive, Seconds
 
-TOLD, MARGIN = 5.0, 0.75   # seconds of idleness that servers tell, and before which idle connections are retired
+TOLD, MARGIN = 5.0, 0.75  # seconds of idleness that servers tell, and before which idle connections are retired
 CONNECT_TIMEOUT = 1.5
 POLICIES = ("one a call", "today", "keeper", "oracle")
 Rate = Annotated[float, msgspec.Meta(gt=0)]
@@ -38,18 +38,18 @@
     servers: Annotated[int, msgspec.Meta(ge=1, le=2000)] = 24
     lives: Annotated[tuple[Rate, ...], msgspec.Meta(min_length=1)] = (0.7, 2.0, 5.0, 5.0)
     resets_third: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1
-    rate: Rate = 2.0                 # calls a second to one server in the mean
-    large: Rate = 10.0               # and to the large one, which drops nothing
+    rate: Rate = 2.0  # calls a second to one server in the mean
+    large: Rate = 10.0  # and to the large one, which drops nothing
     orders: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.5
-    surge: Annotated[float, msgspec.Meta(ge=1)] = 10.0     # times the large one's calls, reached within half a second
-    slowed: Annotated[float, msgspec.Meta(ge=1)] = 2.6     # times the time of every call in the slow spell
-    spell: Seconds = 10.0            # that either lasts
+    surge: Annotated[float, msgspec.Meta(ge=1)] = 10.0  # times the large one's calls, reached within half a second
+    slowed: Annotated[float, msgspec.Meta(ge=1)] = 2.6  # times the time of every call in the slow spell
+    spell: Seconds = 10.0  # that either lasts
     seconds: Annotated[float, msgspec.Meta(gt=0, le=36000)] = 300.0
-    trip: Rate = 0.05                # a round trip; a handshake takes two, and its work
-    workers: Positive = 4            # calls and handshakes that one server works on at once
-    work: Rate = 0.03                # of a call, in the mean
-    handshake: Rate = 0.06            # work of a handshake
-    rest: Rate = 0.1                 # of a call's time, while no worker is needed
+    trip: Rate = 0.05  # a round trip; a handshake takes two, and its work
+    workers: Positive = 4  # calls and handshakes that one server works on at once
+    work: Rate = 0.03  # of a call, in the mean
+    handshake: Rate = 0.06  # work of a handshake
+    rest: Rate = 0.1  # of a call's time, while no worker is needed
     most: Annotated[int, msgspec.Meta(ge=1)] = 300
     settings: ConnectionsSettings = ConnectionsSettings(on=True)
     seeds: Positive = 10
@@ -68,9 +68,9 @@
     name: str
     life: float
     rate: float
-    every: int = 0            # resets each so-manieth reuse, if any
+    every: int = 0  # resets each so-manieth reuse, if any
     reuses: int = 0
-    free: list[float] = field(default_factory=list)   # when each worker is free again
+    free: list[float] = field(default_factory=list)  # when each worker is free again
 
     def alive(self, age: float) -> bool:
         if age < 0:
@@ -173,13 +173,13 @@
 class Found:
     calls: int = 0
     stale: int = 0
-    lost: int = 0         # orders that a stale connection ended
-    unserved: int = 0     # calls that got no connection in time
+    lost: int = 0  # orders that a stale connection ended
+    unserved: int = 0  # calls that got no connection in time
     opened: int = 0
     peak: int = 0
     took: list[float] = field(default_factory=list)
-    surge: list[float] = field(default_factory=list)     # of the large server's calls that began in the surge
-    before: int = 0       # most connections up in the spell before calls slowed, and while they were slow
+    surge: list[float] = field(default_factory=list)  # of the large server's calls that began in the surge
+    before: int = 0  # most connections up in the spell before calls slowed, and while they were slow
     slow: int = 0
 
 
@@ -189,8 +189,15 @@
     def __init__(self, plan: Plan, seed: int, policy: str) -> None:
         luck = Random(seed)
         self._plan, self._work, self.found = plan, Random(seed + 1), Found()
-        kinds = [Server(f"s{n}", luck.choice(plan.lives), plan.rate * luck.uniform(0.1, 1.9),
-                        3 if luck.random() < plan.resets_third else 0) for n in range(plan.servers)]
+        kinds = [
+            Server(
+                f"s{n}",
+                luck.choice(plan.lives),
+                plan.rate * luck.uniform(0.1, 1.9),
+                3 if luck.random() < plan.resets_third else 0,
+            )
+            for n in range(plan.servers)
+        ]
         self._servers = {s.name: s for s in (*kinds, Server("large", 60.0, plan.large))}
         for server in self._servers.values():
             server.free = [0.0] * plan.workers
@@ -232,8 +239,9 @@
 
     def _arrive(self, server: Server, careful: bool, work: float, rest: float) -> None:
         self.found.calls += 1
-        self._do(self._policy.ask(self.now, Wish(server.name, 0, ("", 0), careful, asked=self.now, work=work,
-                                                 rest=rest)))
+        self._do(
+            self._policy.ask(self.now, Wish(server.name, 0, ("", 0), careful, asked=self.now, work=work, rest=rest))
+        )
 
     def _round(self) -> None:
         self._do(self._policy.round(self.now, lambda server: None))
@@ -302,12 +310,20 @@
 
         def middle(of: Callable[[Found], float], days: list[Found] = days) -> float:
             return round(float(statistics.median(of(d) for d in days)), 4)
+
         report[policy] = {
-            "calls": middle(lambda d: d.calls), "stale": middle(lambda d: d.stale),
-            "orders lost": middle(lambda d: d.lost), "unserved": middle(lambda d: d.unserved),
-            "opened": middle(lambda d: d.opened), "peak": middle(lambda d: d.peak),
-            **{name: middle(lambda d, q=q: float(np.percentile(d.took, q)))
-               for name, q in (("p50", 50), ("p99", 99), ("p99.9", 99.9))},
+            "calls": middle(lambda d: d.calls),
+            "stale": middle(lambda d: d.stale),
+            "orders lost": middle(lambda d: d.lost),
+            "unserved": middle(lambda d: d.unserved),
+            "opened": middle(lambda d: d.opened),
+            "peak": middle(lambda d: d.peak),
+            **{
+                name: middle(lambda d, q=q: float(np.percentile(d.took, q)))
+                for name, q in (("p50", 50), ("p99", 99), ("p99.9", 99.9))
+            },
             "surge p99": middle(lambda d: float(np.percentile(d.surge, 99)) if d.surge else 0.0),
-            "up before the slow spell": middle(lambda d: d.before), "up in it": middle(lambda d: d.slow)}
+            "up before the slow spell": middle(lambda d: d.before),
+            "up in it": middle(lambda d: d.slow),
+        }
     return report
--- a/linkdock/lab/failover_parts.py
+++ b/linkdock/lab/failover_parts.py
@@ -7,10 +7,10 @@
 
 from ..failover import observe, returning
 
-STEP = 0.05       # seconds of the virtual clock
+STEP = 0.05  # seconds of the virtual clock
 RULES = returning.Rules(fall_multiple=1.5, tip_after=2.0, cold_share=0.35, cold_time=10.0)
-TRY = 0.5         # seconds between trials
-PART_MOST = 1.3   # of an even part of what a zone takes, that one process may send
+TRY = 0.5  # seconds between trials
+PART_MOST = 1.3  # of an even part of what a zone takes, that one process may send
 
 
 class Backend:
@@ -19,7 +19,7 @@
     def __init__(self, rate: float) -> None:
         self.rate, self.up, self.cold_since, self.up_at = rate, True, None, None
         self.tokens, self.toppled, self.passed = rate * 0.25, 0, 0.0
-        self.window: deque[tuple[float, bool]] = deque()   # arrivals of the last tip span, and whether from elsewhere
+        self.window: deque[tuple[float, bool]] = deque()  # arrivals of the last tip span, and whether from elsewhere
         self.far = 0
 
     def present(self, now: float) -> float:
@@ -47,7 +47,7 @@
             self.far -= self.window.popleft()[1]
         can = present * span
         if self.far and len(self.window) > can + 3 * sqrt(can):
-            self.passed += STEP   # seconds in which more came than it can take, and some of it from elsewhere
+            self.passed += STEP  # seconds in which more came than it can take, and some of it from elsewhere
         if self.up and len(self.window) > RULES.fall_multiple * can:
             self.toppled += 1
             if self.cold_since is not None:
--- a/linkdock/lab/failover_stories.py
+++ b/linkdock/lab/failover_stories.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-ALL = range(4)    # destinations
+ALL = range(4)  # destinations
 
 
 class Story:
     """Begins at `begins`; service is counted for messages that came until `over`. `room`: capacity over demand."""
 
     name, begins, over, ends, deadline, room = "", 15.0, 35.0, 60.0, 5.0, (1.6, 2.2)
-    falls: tuple[tuple[int, int], ...] = ()   # what must be found out, by destination and zone
-    later: tuple[tuple[int, int], ...] = ()   # and what falls 8 s after
+    falls: tuple[tuple[int, int], ...] = ()  # what must be found out, by destination and zone
+    later: tuple[tuple[int, int], ...] = ()  # and what falls 8 s after
 
     def __init__(self) -> None:
         self.did: set[str] = set()
