--- a/linkdock/lab/fleet.py
+++ b/linkdock/lab/fleet.py
@@ -20,9 +20,9 @@
 from .members import Member, Rules
 from .virtual import World
 
-WARM_UP = 8.0       # seconds before anything happens
-AFTER = 14.0        # seconds that are watched from then on
-SLICE = 0.005       # seconds in which the senders run in turn
+WARM_UP = 8.0  # seconds before anything happens
+AFTER = 14.0  # seconds that are watched from then on
+SLICE = 0.005  # seconds in which the senders run in turn
 STORIES = ("return", "halved", "herd")
 
 Positive = Annotated[int, msgspec.Meta(ge=1)]
@@ -34,9 +34,9 @@
 
     senders: Annotated[int, msgspec.Meta(ge=2, le=1000)] = 200
     members: Annotated[int, msgspec.Meta(ge=2, le=1000)] = 16
-    rate: Annotated[float, msgspec.Meta(gt=0, le=5000)] = 320.0     # messages a second, over all
-    part: Share = 0.4       # of the members that fall
-    killed: Share = 0.7     # of the senders that end at once, in the story `herd`
+    rate: Annotated[float, msgspec.Meta(gt=0, le=5000)] = 320.0  # messages a second, over all
+    part: Share = 0.4  # of the members that fall
+    killed: Share = 0.7  # of the senders that end at once, in the story `herd`
     down_s: Annotated[float, msgspec.Meta(gt=0, le=60)] = 5.0
     seeds: Positive = 20
     first_seed: Annotated[int, msgspec.Meta(ge=0)] = 1
@@ -51,11 +51,28 @@
 def settings_of(senders: int, me: int) -> i.Settings:
     """As the platform tells them: no weights, waits and reports by the members."""
     return i.Settings(
-        classes=[i.MessageClass(i.Effect.SAFE, 0.8, 6.0, late_share=0.1),
-                 i.MessageClass(i.Effect.UNSAFE, 4.0, 16.0, worth=2.0, late_share=0.3)],
-        kinds=[i.DestinationKind()], slots=6, max_open=60, max_attempts=12, relays=senders, me=me,
-        max_retry_after=3.0, retry_after=True, cancel=True, second_copies=True, fall_multiple=1.5, tip_after=2.0,
-        cold_share=0.35, cold_time=10.0, connect_timeout=1.5, idle_close=5.0, told_weights=False)
+        classes=[
+            i.MessageClass(i.Effect.SAFE, 0.8, 6.0, late_share=0.1),
+            i.MessageClass(i.Effect.UNSAFE, 4.0, 16.0, worth=2.0, late_share=0.3),
+        ],
+        kinds=[i.DestinationKind()],
+        slots=6,
+        max_open=60,
+        max_attempts=12,
+        relays=senders,
+        me=me,
+        max_retry_after=3.0,
+        retry_after=True,
+        cancel=True,
+        second_copies=True,
+        fall_multiple=1.5,
+        tip_after=2.0,
+        cold_share=0.35,
+        cold_time=10.0,
+        connect_timeout=1.5,
+        idle_close=5.0,
+        told_weights=False,
+    )
 
 
 class Fleet:
@@ -64,12 +81,16 @@
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan, self.random = plan, Random(seed)
         load = plan.rate / plan.members
-        self.members = {n: Member(n, Rules(), Random(seed * 1_000_003 + n), rate=load * self.random.uniform(1.3, 2.0))
-                        for n in range(plan.members)}
+        self.members = {
+            n: Member(n, Rules(), Random(seed * 1_000_003 + n), rate=load * self.random.uniform(1.3, 2.0))
+            for n in range(plan.members)
+        }
         self.listed = i.Hosts(i.ListKind.FULL, [i.HostEntry(f"s-{n}", n) for n in self.members], 1)
-        self.worlds = [World(settings_of(plan.senders, me), seed * 7919 + me, None, self.members, lambda h: int(h[2:]))
-                       for me in range(plan.senders)]
-        weights = [self.random.expovariate(1.0) + 0.05 for _ in self.worlds]   # some see several times the mean
+        self.worlds = [
+            World(settings_of(plan.senders, me), seed * 7919 + me, None, self.members, lambda h: int(h[2:]))
+            for me in range(plan.senders)
+        ]
+        weights = [self.random.expovariate(1.0) + 0.05 for _ in self.worlds]  # some see several times the mean
         at, until = 0.1, WARM_UP + plan.down_s + AFTER - 4.0
         for world in self.worlds:
             world.tell(self.listed)
@@ -81,8 +102,7 @@
         watched(self.worlds, self.random, until, happens)
 
 
-def watched(worlds: list[World], random: Random, until: float,
-            happens: list[tuple[float, Callable[[], None]]]) -> None:
+def watched(worlds: list[World], random: Random, until: float, happens: list[tuple[float, Callable[[], None]]]) -> None:
     """Slice by slice, each sender in turn, in another order each time. What happens may add to what will."""
     at, turn = 0.0, list(worlds)
     while at < until:
@@ -111,20 +131,26 @@
             member.answers_when_down = random.random() < 0.5
             happens += [(WARM_UP, member.fall), (back, lambda m=member: m.come_back(back))]
     if name == "herd":
+
         def killed() -> None:
             for world in random.sample(fleet.worlds, int(plan.killed * plan.senders)):
                 world.restart(random.randrange(1 << 30), fleet.listed)
-        happens.append((back - 0.5, killed))   # with all that was held while the members were down
+
+        happens.append((back - 0.5, killed))  # with all that was held while the members were down
     fleet.run(back + AFTER, happens)
     tallies = [world.tallies["all"] for world in fleet.worlds if "all" in world.tallies]
     asked = sum(t.asked for t in tallies)
     report = {
-        "seed": seed, "toppled": sum(m.toppled for m in troubled), "rule broken": sum(m.broken for m in troubled),
+        "seed": seed,
+        "toppled": sum(m.toppled for m in troubled),
+        "rule broken": sum(m.broken for m in troubled),
         "most of the rule": round(max(m.most_over for m in troubled), 3),
         "most of its bound": round(max(m.most_bound for m in troubled), 3),
         "most by those told": round(max(m.most_told for m in troubled), 3),
         "served": round(sum(t.served for t in tallies) / asked, 4),
-        "failed": round(sum(t.failed for t in tallies) / asked, 4), "took s": round(time.perf_counter() - began, 1)}
+        "failed": round(sum(t.failed for t in tallies) / asked, 4),
+        "took s": round(time.perf_counter() - began, 1),
+    }
     if name == "halved":
         calls = sum(m.calls - before[m.number][0] for m in troubled)
         served = sum(m.served - before[m.number][1] for m in troubled)
@@ -142,8 +168,9 @@
     return report
 
 
-def played(plan: msgspec.Struct, stories: Iterable[str], story: Callable[..., dict],
-           said: Callable[[str], None]) -> Iterator[tuple[str, list[dict]]]:
+def played(
+    plan: msgspec.Struct, stories: Iterable[str], story: Callable[..., dict], said: Callable[[str], None]
+) -> Iterator[tuple[str, list[dict]]]:
     """Each story over all seeds of the plan, in as many processes as it says."""
     seeds = range(plan.first_seed, plan.first_seed + plan.seeds)
     with ProcessPoolExecutor(plan.jobs) as jobs:
--- a/linkdock/lab/flood.py
+++ b/linkdock/lab/flood.py
@@ -26,7 +26,7 @@
 from .rig import Agent, Client, Members, Sender, settings, strike
 
 FRIENDS, WARM_S, AFTER_S = 4, 2.5, 1.0
-PLAIN_CLOSE = struct.pack("ii", 1, 0)   # a reset, which leaves no address in use behind
+PLAIN_CLOSE = struct.pack("ii", 1, 0)  # a reset, which leaves no address in use behind
 
 
 class Plan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
@@ -81,19 +81,36 @@
     members = Members({n: Member(n, Rules(), Random(n), rate=500.0, service=0.02) for n in range(4)})
     await agent.start()
     await members.start()
-    agent.list(lambda: ({"host": f"m{n}", "dial": members.dial, "site": "a", "class": "single", "block": n,
-                         "health": "ready", "share": 1.0, "born_ms": 0} for n in range(4)))
-    sender = Sender(agent, {"admission": {"on": plan.gate, "file_s": 1.0}},
-                    {"memory_mb": 64, "sockets": plan.sockets, "disk_mb": 3}, settings(32, 400))
+    agent.list(
+        lambda: (
+            {
+                "host": f"m{n}",
+                "dial": members.dial,
+                "site": "a",
+                "class": "single",
+                "block": n,
+                "health": "ready",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+            for n in range(4)
+        )
+    )
+    sender = Sender(
+        agent,
+        {"admission": {"on": plan.gate, "file_s": 1.0}},
+        {"memory_mb": 64, "sockets": plan.sockets, "disk_mb": 3},
+        settings(32, 400),
+    )
     pouring, count = None, multiprocessing.get_context("spawn").Value("l", 0)
-    heard: dict[str, tuple[float, float, str]] = {}   # message: when, how long, what
+    heard: dict[str, tuple[float, float, str]] = {}  # message: when, how long, what
     try:
         await sender.start()
 
         async def ask(number: int, known: bool = True) -> None:
             member, began = luck.randrange(4), time.monotonic()
             name, client = f"{member:08x}{number:08x}", Client(sender.port, f"127.0.0.{2 + number % FRIENDS}")
-            for _ in range(4):   # as clients do: again where they are turned away or cut off
+            for _ in range(4):  # as clients do: again where they are turned away or cut off
                 said = await client.enqueue(name, "order", 8.0, member)
                 if said.startswith("+OK") or time.monotonic() - began > 2.0:
                     break
@@ -108,10 +125,12 @@
                 await asyncio.sleep(luck.expovariate(plan.rate))
             await asyncio.gather(*tasks)
             return first + len(tasks)
+
         number = await traffic(WARM_S, 1)
         if flooded:
             pouring = multiprocessing.get_context("spawn").Process(
-                target=pour, args=(sender.port, msgspec.to_builtins(plan), seed, plan.seconds, count), daemon=True)
+                target=pour, args=(sender.port, msgspec.to_builtins(plan), seed, plan.seconds, count), daemon=True
+            )
             pouring.start()
             while not count.value:
                 await asyncio.sleep(0.01)
@@ -121,7 +140,7 @@
             await asyncio.sleep(plan.seconds / 2)
             sender.process.kill()
             await sender.process.wait()
-            cpu = 0.0   # of the second life from here on
+            cpu = 0.0  # of the second life from here on
             await sender.start(sender.port)
             since = time.monotonic()
         await half
@@ -135,11 +154,15 @@
         strike(sender, agent, members)
     asked = {name: told for name, told in heard.items() if int(name[8:], 16) >= number}
     taken = [name for name, told in heard.items() if told[2].startswith("+OK")]
-    return {"asked": len(asked), "taken": sum(told[2].startswith("+OK") for told in asked.values()),
-            "waits": [told[1] for told in asked.values() if told[2].startswith("+OK")],
-            "no end": sum(not members.came[name] and name not in agent.notices for name in taken),
-            "twice": sum(members.came[name] > 1 for name in taken), "flood": count.value,
-            "cpu share": used / span}
+    return {
+        "asked": len(asked),
+        "taken": sum(told[2].startswith("+OK") for told in asked.values()),
+        "waits": [told[1] for told in asked.values() if told[2].startswith("+OK")],
+        "no end": sum(not members.came[name] and name not in agent.notices for name in taken),
+        "twice": sum(members.came[name] > 1 for name in taken),
+        "flood": count.value,
+        "cpu share": used / span,
+    }
 
 
 def run(plan: Plan, said: Callable[[str], None] = lambda text: None) -> dict:
@@ -155,12 +178,21 @@
         return round(statistics.median(of(row[which]) for row in rows), 4)
 
     def told(which: int) -> dict:
-        return {"asked": middle(lambda d: d["asked"], which), "taken": middle(lambda d: d["taken"] / d["asked"], which),
-                "answered p99 s": middle(lambda d: float(np.percentile(d["waits"], 99)) if d["waits"] else -1.0, which),
-                "cpu share": middle(lambda d: d["cpu share"], which)}
+        return {
+            "asked": middle(lambda d: d["asked"], which),
+            "taken": middle(lambda d: d["taken"] / d["asked"], which),
+            "answered p99 s": middle(lambda d: float(np.percentile(d["waits"], 99)) if d["waits"] else -1.0, which),
+            "cpu share": middle(lambda d: d["cpu share"], which),
+        }
+
     rate = statistics.median(flooded["flood"] / plan.seconds for _, flooded in rows)
     extra = middle(lambda d: d["cpu share"], 1) - middle(lambda d: d["cpu share"], 0)
-    return {"plan": msgspec.to_builtins(plan), "without": told(0), "flooded": told(1),
-            "flood a second": round(rate), "us of cpu for each of the flood": round(1e6 * extra / rate, 1),
-            "messages taken without an end": sum(d["no end"] for row in rows for d in row),
-            "orders that arrived twice": sum(d["twice"] for row in rows for d in row)}
+    return {
+        "plan": msgspec.to_builtins(plan),
+        "without": told(0),
+        "flooded": told(1),
+        "flood a second": round(rate),
+        "us of cpu for each of the flood": round(1e6 * extra / rate, 1),
+        "messages taken without an end": sum(d["no end"] for row in rows for d in row),
+        "orders that arrived twice": sum(d["twice"] for row in rows for d in row),
+    }
--- a/linkdock/lab/grown.py
+++ b/linkdock/lab/grown.py
@@ -27,17 +27,17 @@
 from .registry import Registry
 from .virtual import Lines, World
 
-WARM_UP = 8.0          # seconds before anything happens
-AFTER = 16.0           # seconds that are watched from then on
-RELEASE = 9.0          # seconds in which endpoints are replaced,
-KILL = 3.0             # and how far into them the senders die
-DEAD = 0.6             # seconds until a killed one is there again
-DOWN = 5.0             # seconds of the outage
-LOWERED = 9.0          # seconds of the lower limits
-KEPT = 1.1             # of a lowered limit, within which calls count as keeping to it
-ANSWER = 0.14          # seconds until an ask that is turned away hears so
-ROOMY, BUSY = 2.2, 0.35   # slots over those in use, and the seconds that a call keeps one
-HELD = 8.0             # seconds of traffic that a sender may hold
+WARM_UP = 8.0  # seconds before anything happens
+AFTER = 16.0  # seconds that are watched from then on
+RELEASE = 9.0  # seconds in which endpoints are replaced,
+KILL = 3.0  # and how far into them the senders die
+DEAD = 0.6  # seconds until a killed one is there again
+DOWN = 5.0  # seconds of the outage
+LOWERED = 9.0  # seconds of the lower limits
+KEPT = 1.1  # of a lowered limit, within which calls count as keeping to it
+ANSWER = 0.14  # seconds until an ask that is turned away hears so
+ROOMY, BUSY = 2.2, 0.35  # slots over those in use, and the seconds that a call keeps one
+HELD = 8.0  # seconds of traffic that a sender may hold
 STORIES = ("release", "zone", "lowered")
 TABLES = ("by second", "by destination", "calls by sender")
 COUNTS = ("sent", "resent", "refused", "failed", "handshakes")
@@ -49,13 +49,13 @@
     senders: Annotated[int, msgspec.Meta(ge=2, le=1000)] = 40
     destinations: Annotated[int, msgspec.Meta(ge=2, le=100)] = 8
     endpoints: Annotated[int, msgspec.Meta(ge=2, le=1000)] = 60
-    rate: Annotated[float, msgspec.Meta(gt=0, le=5000)] = 240.0   # messages a second, over all
-    room: Annotated[float, msgspec.Meta(gt=0, le=10)] = 1.3       # limit over traffic of a destination, in the mean
-    places: Annotated[float, msgspec.Meta(ge=0)] = 2.0            # connections a destination accepts, by its limit
-    asks: Annotated[float, msgspec.Meta(gt=0)] = 12.0             # asks a second that discovery serves
+    rate: Annotated[float, msgspec.Meta(gt=0, le=5000)] = 240.0  # messages a second, over all
+    room: Annotated[float, msgspec.Meta(gt=0, le=10)] = 1.3  # limit over traffic of a destination, in the mean
+    places: Annotated[float, msgspec.Meta(ge=0)] = 2.0  # connections a destination accepts, by its limit
+    asks: Annotated[float, msgspec.Meta(gt=0)] = 12.0  # asks a second that discovery serves
     killed: Annotated[float, msgspec.Meta(gt=0, lt=1)] = 0.7
-    replaced: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.9    # of the endpoints, in the release
-    asking: Literal["spread", "even"] = "spread"                  # `even`: each 0.2 s, as before the fleet grew
+    replaced: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.9  # of the endpoints, in the release
+    asking: Literal["spread", "even"] = "spread"  # `even`: each 0.2 s, as before the fleet grew
     seeds: Positive = 20
     first_seed: Annotated[int, msgspec.Meta(ge=0)] = 1
     jobs: Annotated[int, msgspec.Meta(ge=1, le=64)] = 1
@@ -77,20 +77,27 @@
         self.members: dict[int, Member] = {}
         for n, share in enumerate(shares):
             limit = max(3.0, plan.rate * share * plan.room * draw.uniform(0.75, 1.25))
-            self.members[n] = Member(n, Rules(), Random(seed * 1_000_003 + n), rate=limit, service=0.2,
-                                     span=draw.choice([0.0, 1.0, 2.0]), refused_count=True,
-                                     places=int(max(plan.senders / 2, plan.places * limit)) if plan.places else 0)
+            self.members[n] = Member(
+                n,
+                Rules(),
+                Random(seed * 1_000_003 + n),
+                rate=limit,
+                service=0.2,
+                span=draw.choice([0.0, 1.0, 2.0]),
+                refused_count=True,
+                places=int(max(plan.senders / 2, plan.places * limit)) if plan.places else 0,
+            )
         hosts = [f"{k % plan.destinations}-{k}" for k in range(plan.endpoints)]
         self.registry = Registry([i.HostEntry(h, int(h.split("-")[0])) for h in hosts], plan.asks, draw)
-        self.counts: Counter[tuple[int, int, str]] = Counter()   # by second, destination and what
+        self.counts: Counter[tuple[int, int, str]] = Counter()  # by second, destination and what
         self.calls = [0] * plan.senders
-        self.suspected: dict[tuple[int, int], float] = {}        # sender and destination: first held to be out
-        self.known_at: dict[int, float] = {}                     # when a sender had the whole of the list again
+        self.suspected: dict[tuple[int, int], float] = {}  # sender and destination: first held to be out
+        self.known_at: dict[int, float] = {}  # when a sender had the whole of the list again
         self.worlds = [self._sender(me, seed) for me in range(plan.senders)]
         self.asking = [self._asking(me, seed) for me in range(plan.senders)]
         self._lives = [0] * plan.senders
         self._versions = [0] * plan.senders
-        weights = [draw.expovariate(1.0) + 0.05 for _ in self.worlds]   # some see several times the mean
+        weights = [draw.expovariate(1.0) + 0.05 for _ in self.worlds]  # some see several times the mean
         at, until = 0.1, WARM_UP + AFTER - 4.0
         while (at := at + draw.expovariate(plan.rate)) < until:
             world = draw.choices(self.worlds, weights)[0]
@@ -104,8 +111,9 @@
     def _sender(self, me: int, seed: int) -> World:
         # Slots and room as the platform gives them: by what a sender's share of the traffic keeps busy.
         share, usual = self.plan.rate / self.plan.senders, settings_of(self.plan.senders, me)
-        told = replace(usual, slots=max(usual.slots, ceil(ROOMY * share * BUSY)),
-                       max_open=max(usual.max_open, int(share * HELD)))
+        told = replace(
+            usual, slots=max(usual.slots, ceil(ROOMY * share * BUSY)), max_open=max(usual.max_open, int(share * HELD))
+        )
         world = World(told, seed * 7919 + me, None, self.members, lambda h: int(h.split("-")[0]))
         world.lines, world.alive = Lines(told.idle_close - 0.75), self.registry.alive
         world.count, world.marked = partial(self._count, me), partial(self._marked, me)
@@ -128,11 +136,12 @@
 
         def ask() -> None:
             if life != self._lives[me]:
-                return   # that process has died
+                return  # that process has died
             if self.registry.ask(world.now, me, partial(self._take, me)):
                 return
             pause = self.asking[me].again(served=False) if self.plan.asking == "spread" else AGENT
             world.at(world.now + ANSWER + pause, ask)
+
         world.at(world.now + after, ask)
 
     def _take(self, me: int, changes: list[i.HostEntry], upto: int) -> None:
@@ -182,14 +191,17 @@
     happens.append((at, lambda: fleet.kill(some, seed, happens, at)))
     fleet.run(WARM_UP + AFTER, happens)
     late = [fleet.known_at.get(me, WARM_UP + AFTER) - at - DEAD for me in some]
-    return {"asks": fleet.registry.asks, "asks turned away": fleet.registry.turned_away,
-            "never had the list again": sum(me not in fleet.known_at for me in some),
-            "s until a killed sender had the list": round(statistics.median(late), 2)}
+    return {
+        "asks": fleet.registry.asks,
+        "asks turned away": fleet.registry.turned_away,
+        "never had the list again": sum(me not in fleet.known_at for me in some),
+        "s until a killed sender had the list": round(statistics.median(late), 2),
+    }
 
 
 def _zone(fleet: Grown, seed: int, happens: list) -> dict:
     half, troubled = 0.0, []
-    for member in fleet.members.values():   # the largest come first
+    for member in fleet.members.values():  # the largest come first
         if half < 0.5 * sum(m.rate for m in fleet.members.values()):
             troubled.append(member)
             half += member.rate
@@ -198,33 +210,44 @@
         member.answers_when_down = fleet.random.random() < 0.5
         happens += [(WARM_UP, member.fall), (back, partial(member.come_back, back))]
     fleet.run(WARM_UP + AFTER, happens)
-    acted = [at - WARM_UP for (_, n), at in fleet.suspected.items()
-             if WARM_UP <= at < back and fleet.members[n] in troubled]
-    return {"toppled": sum(m.toppled for m in troubled), "rule broken": sum(m.broken for m in troubled),
-            "most of the rule": round(max(m.most_over for m in troubled), 3),
-            "most of its bound": round(max(m.most_bound for m in troubled), 3),
-            "s until a sender stopped it": round(statistics.median(acted), 2) if acted else None}
+    acted = [
+        at - WARM_UP for (_, n), at in fleet.suspected.items() if WARM_UP <= at < back and fleet.members[n] in troubled
+    ]
+    return {
+        "toppled": sum(m.toppled for m in troubled),
+        "rule broken": sum(m.broken for m in troubled),
+        "most of the rule": round(max(m.most_over for m in troubled), 3),
+        "most of its bound": round(max(m.most_bound for m in troubled), 3),
+        "s until a sender stopped it": round(statistics.median(acted), 2) if acted else None,
+    }
 
 
 def _lowered(fleet: Grown, seed: int, happens: list) -> dict:
     some = fleet.random.sample(sorted(fleet.members), max(1, len(fleet.members) // 2))
     for n in some:
         member, rate = fleet.members[n], fleet.members[n].rate
-        happens += [(WARM_UP, partial(setattr, member, "rate", rate / 2)),
-                    (WARM_UP + LOWERED, partial(setattr, member, "rate", rate))]
+        happens += [
+            (WARM_UP, partial(setattr, member, "rate", rate / 2)),
+            (WARM_UP + LOWERED, partial(setattr, member, "rate", rate)),
+        ]
     limits = {n: fleet.members[n].rate / 2 for n in some}
     fleet.run(WARM_UP + AFTER, happens)
     first, last = int(WARM_UP), int(WARM_UP + LOWERED)
     keeps = []
     for n, limit in limits.items():
         # By two seconds, for a limit may count in spans of as many; the last pair beyond the limit ends the learning.
-        over = [s for s in range(first, last - 1)
-                if sum(fleet.counts[t, n, w] for t in (s, s + 1) for w in ("sent", "resent")) > 2 * KEPT * limit + 1]
+        over = [
+            s
+            for s in range(first, last - 1)
+            if sum(fleet.counts[t, n, w] for t in (s, s + 1) for w in ("sent", "resent")) > 2 * KEPT * limit + 1
+        ]
         keeps.append(over[-1] + 2 - first if over else 0)
     calls = sum(fleet.counts[s, n, w] for s in range(first, last) for n in some for w in ("sent", "resent"))
     refused = sum(fleet.counts[s, n, "refused"] for s in range(first, last) for n in some)
-    return {"s until the fleet kept to it": statistics.median(keeps),
-            "refused while lowered": round(refused / max(1, calls), 4)}
+    return {
+        "s until the fleet kept to it": statistics.median(keeps),
+        "refused while lowered": round(refused / max(1, calls), 4),
+    }
 
 
 def story(plan: Plan, seed: int, name: str, tables: bool = False) -> dict:
@@ -239,18 +262,24 @@
     for (_, _, what), count in fleet.counts.items():
         totals[what] += count
     mean = sum(fleet.calls) / plan.senders
-    report = {"seed": seed, "served": round(sum(t.served for t in tallies) / asked, 4),
-              "served in the aim of a preview": round(sum(wait <= aim for wait in waits) / asked, 4),
-              "failed messages": round(sum(t.failed for t in tallies) / asked, 4),
-              **{what: totals[what] for what in COUNTS},
-              "busiest sender, in means": round(max(fleet.calls) / max(mean, 1.0), 2),
-              **told, "took s": round(time.perf_counter() - began, 1)}
+    report = {
+        "seed": seed,
+        "served": round(sum(t.served for t in tallies) / asked, 4),
+        "served in the aim of a preview": round(sum(wait <= aim for wait in waits) / asked, 4),
+        "failed messages": round(sum(t.failed for t in tallies) / asked, 4),
+        **{what: totals[what] for what in COUNTS},
+        "busiest sender, in means": round(max(fleet.calls) / max(mean, 1.0), 2),
+        **told,
+        "took s": round(time.perf_counter() - began, 1),
+    }
     if tables:
         last = int(WARM_UP + AFTER)
-        report["by second"] = {w: [sum(fleet.counts[s, n, w] for n in fleet.members) for s in range(last)]
-                               for w in COUNTS}
-        report["by destination"] = {w: [sum(fleet.counts[s, n, w] for s in range(last)) for n in fleet.members]
-                                    for w in COUNTS}
+        report["by second"] = {
+            w: [sum(fleet.counts[s, n, w] for n in fleet.members) for s in range(last)] for w in COUNTS
+        }
+        report["by destination"] = {
+            w: [sum(fleet.counts[s, n, w] for s in range(last)) for n in fleet.members] for w in COUNTS
+        }
         report["calls by sender"] = fleet.calls
     return report
 
--- a/linkdock/lab/idle.py
+++ b/linkdock/lab/idle.py
@@ -32,8 +32,8 @@
 from .members import Member, Rules
 from .virtual import World
 
-MOST_CHANGED = 10_000   # rows of the change that a process is told
-NEVER_SLEPT = 3   # seeds that are played without sleep as well
+MOST_CHANGED = 10_000  # rows of the change that a process is told
+NEVER_SLEPT = 3  # seeds that are played without sleep as well
 
 Positive = Annotated[int, msgspec.Meta(ge=1)]
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
@@ -64,11 +64,26 @@
 
 def relay_settings(slots: int = 400) -> i.Settings:
     return i.Settings(
-        classes=[i.MessageClass(i.Effect.SAFE, 0.8, 6.0, late_share=0.1),
-                 i.MessageClass(i.Effect.UNSAFE, 4.0, 16.0, worth=2.0)],
-        kinds=[i.DestinationKind()], slots=slots, max_open=20_000, max_attempts=8, max_retry_after=3.0,
-        retry_after=True, cancel=True, second_copies=True, fall_multiple=1.5, tip_after=2.0, cold_share=0.35,
-        cold_time=10.0, connect_timeout=1.5, idle_close=5.0, told_weights=False)
+        classes=[
+            i.MessageClass(i.Effect.SAFE, 0.8, 6.0, late_share=0.1),
+            i.MessageClass(i.Effect.UNSAFE, 4.0, 16.0, worth=2.0),
+        ],
+        kinds=[i.DestinationKind()],
+        slots=slots,
+        max_open=20_000,
+        max_attempts=8,
+        max_retry_after=3.0,
+        retry_after=True,
+        cancel=True,
+        second_copies=True,
+        fall_multiple=1.5,
+        tip_after=2.0,
+        cold_share=0.35,
+        cold_time=10.0,
+        connect_timeout=1.5,
+        idle_close=5.0,
+        told_weights=False,
+    )
 
 
 def host(number: int) -> str:
@@ -100,12 +115,13 @@
 
 # --- Waking.
 
+
 def waking(plan: Plan, seed: int, sleeps: bool = True) -> dict:
     """A thousand wake in one second; half were failing and come back cold, some have shrunk."""
     random = Random(seed)
     numbers = random.sample(range(plan.destinations), plan.wake + plan.active)
-    woken, active = numbers[:plan.wake], numbers[plan.wake:]
-    failing, shrunk = set(woken[:plan.wake // 2]), set(woken[plan.wake // 2:plan.wake * 6 // 10])
+    woken, active = numbers[: plan.wake], numbers[plan.wake :]
+    failing, shrunk = set(woken[: plan.wake // 2]), set(woken[plan.wake // 2 : plan.wake * 6 // 10])
     members = {n: Member(n, Rules(), Random(seed * 1_000_003 + n)) for n in numbers}
     for n in failing:
         members[n].rate = random.uniform(2.0, 20.0)
@@ -117,6 +133,7 @@
 
     def kind(n: int) -> str:
         return "cold" if n in failing else "shrunk" if n in shrunk else "healthy"
+
     for n in woken:
         for _ in range(6):
             world.ask(random.uniform(0.1, 8.0), n, 0, "before")
@@ -143,13 +160,18 @@
     world.cpu.clear()
     world.run(wakes + 25.0)
     return {
-        "seed": seed, "awake before": asleep, "toppled": sum(m.toppled for m in members.values()),
+        "seed": seed,
+        "awake before": asleep,
+        "toppled": sum(m.toppled for m in members.values()),
         "most over": round(max(m.most_over for m in members.values()), 3),
         "over by shrunk": round(max((_over(members[n]) for n in shrunk), default=0.0), 3),
         "served": {k: round(t.share(), 4) for k, t in sorted(world.tallies.items())},
-        "p95 wait": {k: round(float(np.percentile(t.waits, 95)), 3)
-                     for k, t in sorted(world.tallies.items()) if t.waits},
-        "longest pass ms": round(1000 * max(world.cpu), 2), "took s": round(time.perf_counter() - began, 2)}
+        "p95 wait": {
+            k: round(float(np.percentile(t.waits, 95)), 3) for k, t in sorted(world.tallies.items()) if t.waits
+        },
+        "longest pass ms": round(1000 * max(world.cpu), 2),
+        "took s": round(time.perf_counter() - began, 2),
+    }
 
 
 def _over(member: Member) -> float:
@@ -158,6 +180,7 @@
 
 # --- What is kept.
 
+
 def _resident() -> int:
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS"):
@@ -175,12 +198,16 @@
     for piece in snapshot.write(store.items(), 1, 2, 1.0, 1e9):
         longest, size = max(longest, time.perf_counter() - at), size + len(piece)
         at = time.perf_counter()
-    return {"bytes": round(grown / count, 1), "snapshot bytes": round(size / count, 1),
-            "longest slice ms": round(1000 * longest, 2)}
+    return {
+        "bytes": round(grown / count, 1),
+        "snapshot bytes": round(size / count, 1),
+        "longest slice ms": round(1000 * longest, 2),
+    }
 
 
 # --- Cost of a pass.
 
+
 def pass_cost(plan: Plan, count: int, seed: int) -> dict:
     """The same traffic to the same active members with so many listed."""
     random = Random(seed)
@@ -191,16 +218,28 @@
     for at in arrivals:
         world.ask(float(at) + 0.1, random.choice(active), 0, "all")
     world.run(25.0)
-    return {"mean ms": 1000 * world.pass_time / world.passes, "longest ms": 1000 * world.longest_pass,
-            "served": world.tallies["all"].share()}
+    return {
+        "mean ms": 1000 * world.pass_time / world.passes,
+        "longest ms": 1000 * world.longest_pass,
+        "served": world.tallies["all"].share(),
+    }
 
 
 # --- A real process.
 
+
 def rows(count: int, dial: str) -> Iterator[dict]:
     for n in range(count):
-        yield {"host": host(n), "dial": dial, "site": "a", "class": "single", "block": n, "health": "ready",
-               "share": 1.0, "born_ms": 0}
+        yield {
+            "host": host(n),
+            "dial": dial,
+            "site": "a",
+            "class": "single",
+            "block": n,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
 
 
 async def process(plan: Plan, count: int, seed: int) -> dict:
@@ -210,8 +249,12 @@
     await agent.start()
     await stand_ins.start()
     agent.list(lambda: rows(count, stand_ins.dial))
-    sender = rig.Sender(agent, {"dormancy": {"on": True, "after_s": plan.after_s}},
-                        {"memory_mb": 192, "sockets": 1024, "disk_mb": 3}, rig.settings(64, 2000))
+    sender = rig.Sender(
+        agent,
+        {"dormancy": {"on": True, "after_s": plan.after_s}},
+        {"memory_mb": 192, "sockets": 1024, "disk_mb": 3},
+        rig.settings(64, 2000),
+    )
     try:
         await sender.start()
         client = rig.Client(sender.port)
@@ -236,6 +279,7 @@
             name = f"{destination:08x}{n + 1:08x}"
             asked[name] = time.monotonic()
             heard[name] = await client.enqueue(name, "preview", 6.0, destination)
+
         tasks, due = [], time.monotonic()
         for n, gap in enumerate(gaps):
             due += gap
@@ -254,18 +298,28 @@
         client.close()
         await sender.stop()
         hold = [line for line in sender.text().splitlines() if "longest hold" in line]
-        return {"destinations": count, "listed s": round(listed, 2), "memory mb": round(memory / 1e6, 1),
-                "idle cpu": round(idle_cpu, 4), "asked": len(asked),
-                "taken": sum(h.startswith("+") for h in heard.values()), "arrived": way.get_total_count(),
-                "p50 ms": way.get_value_at_percentile(50) / 1000, "p99 ms": way.get_value_at_percentile(99) / 1000,
-                "longest hold": hold[-1].rsplit("hold of the loop: ", 1)[-1] if hold else "?"}
+        return {
+            "destinations": count,
+            "listed s": round(listed, 2),
+            "memory mb": round(memory / 1e6, 1),
+            "idle cpu": round(idle_cpu, 4),
+            "asked": len(asked),
+            "taken": sum(h.startswith("+") for h in heard.values()),
+            "arrived": way.get_total_count(),
+            "p50 ms": way.get_value_at_percentile(50) / 1000,
+            "p99 ms": way.get_value_at_percentile(99) / 1000,
+            "longest hold": hold[-1].rsplit("hold of the loop: ", 1)[-1] if hold else "?",
+        }
     finally:
         rig.strike(sender, agent, stand_ins)
 
 
 def _middle(values: list[float]) -> dict:
-    return {"median": round(statistics.median(values), 4), "least": round(min(values), 4),
-            "most": round(max(values), 4)}
+    return {
+        "median": round(statistics.median(values), 4),
+        "least": round(min(values), 4),
+        "most": round(max(values), 4),
+    }
 
 
 def run(plan: Plan, said=lambda text: None) -> dict:
@@ -286,12 +340,14 @@
         slept = list(jobs.map(waking, [plan] * plan.seeds, seeds))
         never = [one.result() for one in later]
     report["waking"] = {
-        "seeds": plan.seeds, "toppled": sum(w["toppled"] for w in slept),
+        "seeds": plan.seeds,
+        "toppled": sum(w["toppled"] for w in slept),
         "most over": max(w["most over"] for w in slept),
         "served": {k: _middle([w["served"][k] for w in slept]) for k in slept[0]["served"]},
         "served by one that never slept": {k: _middle([w["served"][k] for w in never]) for k in never[0]["served"]},
         "toppled by one that never slept": [w["toppled"] for w in never],
-        "longest pass ms": _middle([w["longest pass ms"] for w in slept])}
+        "longest pass ms": _middle([w["longest pass ms"] for w in slept]),
+    }
     with ProcessPoolExecutor(1, multiprocessing.get_context("spawn")) as jobs:
         report["kept"] = jobs.submit(keeping, plan.destinations).result()
     if plan.process:
@@ -304,6 +360,7 @@
 
         def middle(which: list[dict], key: str) -> float:
             return statistics.median(r[key] for r in which)
+
         extra = middle(many, "memory mb") - middle(few, "memory mb")
         report["process"] = {
             "memory mb": {str(c): _middle([r["memory mb"] for r in rs]) for c, rs in runs.items()},
@@ -311,5 +368,7 @@
             "idle cpu": {str(c): _middle([r["idle cpu"] for r in rs]) for c, rs in runs.items()},
             "p50 ms": {str(c): _middle([r["p50 ms"] for r in rs]) for c, rs in runs.items()},
             "p99 ms": {str(c): _middle([r["p99 ms"] for r in rs]) for c, rs in runs.items()},
-            "listed s": _middle([r["listed s"] for r in many]), "runs": few + many}
+            "listed s": _middle([r["listed s"] for r in many]),
+            "runs": few + many,
+        }
     return report
--- a/linkdock/lab/outage.py
+++ b/linkdock/lab/outage.py
@@ -23,9 +23,9 @@
 from .members import Member, Rules
 from .rig import Agent, Client, Members, Sender, settings, strike
 
-SHUT = 0                      # the member that is shut
+SHUT = 0  # the member that is shut
 MEMBERS, END_S = 4, 40.0
-DEADLINE_S = 1.0              # of messages while it is shut, so that they end soon
+DEADLINE_S = 1.0  # of messages while it is shut, so that they end soon
 
 
 class Plan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
@@ -55,19 +55,33 @@
     """One outage and what came after it."""
     luck, agent = Random(seed), Agent()
     rules = Rules(cold_time=plan.cold_s)
-    members = Members({n: Member(n, rules, Random(seed * 100 + n), rate=plan.capacity, service=0.03, resets=plan.resets)
-                       for n in range(MEMBERS)})
+    members = Members(
+        {
+            n: Member(n, rules, Random(seed * 100 + n), rate=plan.capacity, service=0.03, resets=plan.resets)
+            for n in range(MEMBERS)
+        }
+    )
     await agent.start()
     await members.start()
     nowhere = shut_port()
 
     def row(n: int, dial: str) -> dict:
-        return {"host": f"m{n}", "dial": dial, "site": "a", "class": "single", "block": n, "health": "ready",
-                "share": 1.0, "born_ms": 0}
+        return {
+            "host": f"m{n}",
+            "dial": dial,
+            "site": "a",
+            "class": "single",
+            "block": n,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+
     agent.list(lambda: (row(n, nowhere if n == SHUT and shut else members.dial) for n in range(MEMBERS)))
     shut = True
-    sender = Sender(agent, {"undeliverable": {"on": True}}, {"memory_mb": 96, "sockets": 512, "disk_mb": 3},
-                    settings(32, 400))
+    sender = Sender(
+        agent, {"undeliverable": {"on": True}}, {"memory_mb": 96, "sockets": 512, "disk_mb": 3}, settings(32, 400)
+    )
     path, heard = sender.path / "state" / "undeliverable.db", {}
     try:
         await sender.start()
@@ -88,6 +102,7 @@
                 await asyncio.sleep(luck.expovariate(plan.rate * len(to)))
             await asyncio.gather(*tasks)
             return [name for name in heard if first < int(name[8:], 16) <= number]
+
         await traffic(plan.outage_s, list(range(MEMBERS)), DEADLINE_S)
         await asyncio.sleep(DEADLINE_S + 1.0)
         shut = False
@@ -95,8 +110,11 @@
         agent.change([row(SHUT, members.dial)])
         with Store(path, write=True) as one, Store(path, write=True) as two:
             found = [m for m, _ in one.find(Filter())]
-            in_line = one.ask("batch", "first", found)[0] + two.ask("batch", "second", found)[0] + two.ask(
-                "other", "second", found)[0]
+            in_line = (
+                one.ask("batch", "first", found)[0]
+                + two.ask("batch", "second", found)[0]
+                + two.ask("other", "second", found)[0]
+            )
         live = asyncio.create_task(traffic(4.0, list(range(1, MEMBERS)), 6.0))
         for _ in range(plan.kills):
             await asyncio.sleep(luck.uniform(0.1, 1.5))
@@ -121,16 +139,23 @@
     orders = [name for name, cls in taken.items() if cls == "order"]
     doubt = {name for name, known in rows.items() if in_doubt(*known)}
     live_ok = [name for name in live_names if name in taken]
-    return {"kept": len(rows), "in line": in_line,
-            "delivered again": sum(m.state == "delivered" for m, _ in rows.values()), "in doubt": len(doubt),
-            "left in line": sum(m.state in (ASKED, CLAIMED) for m, _ in rows.values()),
-            "orders twice": sum(members.effects[name] > 1 for name in orders),
-            "orders neither done nor in doubt nor kept": sum(
-                not members.effects[name] and name not in doubt and name not in rows for name in orders),
-            "previews neither done nor kept": sum(
-                not members.effects[n] and n not in rows for n, cls in taken.items() if cls == "preview"),
-            "live served": round(sum(members.effects[n] > 0 for n in live_ok) / max(1, len(live_ok)), 4),
-            "toppled": members.members[SHUT].toppled, "memory mb": round(memory / 1e6, 1)}
+    return {
+        "kept": len(rows),
+        "in line": in_line,
+        "delivered again": sum(m.state == "delivered" for m, _ in rows.values()),
+        "in doubt": len(doubt),
+        "left in line": sum(m.state in (ASKED, CLAIMED) for m, _ in rows.values()),
+        "orders twice": sum(members.effects[name] > 1 for name in orders),
+        "orders neither done nor in doubt nor kept": sum(
+            not members.effects[name] and name not in doubt and name not in rows for name in orders
+        ),
+        "previews neither done nor kept": sum(
+            not members.effects[n] and n not in rows for n, cls in taken.items() if cls == "preview"
+        ),
+        "live served": round(sum(members.effects[n] > 0 for n in live_ok) / max(1, len(live_ok)), 4),
+        "toppled": members.members[SHUT].toppled,
+        "memory mb": round(memory / 1e6, 1),
+    }
 
 
 def run(plan: Plan, said: Callable[[str], None] = lambda text: None) -> dict:
@@ -140,8 +165,16 @@
     for n in range(plan.seeds):
         said(f"seed {plan.first_seed + n}")
         days.append(asyncio.run(day(plan, plan.first_seed + n)))
-    sums = ("orders twice", "orders neither done nor in doubt nor kept", "previews neither done nor kept", "toppled",
-            "left in line")
-    return {"plan": msgspec.to_builtins(plan), **{what: sum(d[what] for d in days) for what in sums},
-            **{what: statistics.median(d[what] for d in days) for what in days[0] if what not in sums},
-            "least live served": min(d["live served"] for d in days)}
+    sums = (
+        "orders twice",
+        "orders neither done nor in doubt nor kept",
+        "previews neither done nor kept",
+        "toppled",
+        "left in line",
+    )
+    return {
+        "plan": msgspec.to_builtins(plan),
+        **{what: sum(d[what] for d in days) for what in sums},
+        **{what: statistics.median(d[what] for d in days) for what in days[0] if what not in sums},
+        "least live served": min(d["live served"] for d in days),
+    }
--- a/linkdock/lab/processes/__main__.py
+++ b/linkdock/lab/processes/__main__.py
@@ -32,6 +32,7 @@
     """One line for each seed, and the command that plays a failing one again. 1 if any failed."""
     from .fleet import older
     from .stories import play
+
     failed = []
     with tempfile.TemporaryDirectory(prefix="linkdock-older-") as folder:
         try:
@@ -55,15 +56,20 @@
     for text in one.found[:20]:
         print(f"    {text}", flush=True)
     if one.found:
-        print(f"    again: python -m linkdock.lab.processes --story {told.story} --seed {one.seed} --size {told.size} "
-              "--history FILE", flush=True)
+        print(
+            f"    again: python -m linkdock.lab.processes --story {told.story} --seed {one.seed} --size {told.size} "
+            "--history FILE",
+            flush=True,
+        )
     return bool(one.found)
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m linkdock.lab.processes", description=__doc__,
-        epilog="Without options: three senders with all their peers, to look at and to try.")
+        prog="python -m linkdock.lab.processes",
+        description=__doc__,
+        epilog="Without options: three senders with all their peers, to look at and to try.",
+    )
     parser.add_argument("--story", metavar="NAME", help="play a story with real processes")
     parser.add_argument("--seed", type=int, default=1, metavar="N", help="the first seed (1)")
     parser.add_argument("--seeds", type=int, default=1, metavar="N", help="how many, one after another (1)")
@@ -71,22 +77,28 @@
     parser.add_argument("--history", type=Path, metavar="FILE", help="write the last seed's history, as JSON lines")
     parser.add_argument("--older", metavar="REV", help="every second process runs this git revision's program")
     orders = parser.add_subparsers(dest="order")
-    for name, text in (("ask", "one RESP2 command to a sender's clients' address, such as PING"),
-                       ("tell", "one line to an operators' address, such as stats")):
+    for name, text in (
+        ("ask", "one RESP2 command to a sender's clients' address, such as PING"),
+        ("tell", "one line to an operators' address, such as stats"),
+    ):
         order = orders.add_parser(name, help=text)
         order.add_argument("address", metavar="HOST:PORT")
         order.add_argument("words", nargs="+", metavar="WORD")
     told = parser.parse_args()
     if told.order == "ask":
         words = [word.encode() for word in told.words]
-        return spoken(told.address, b"*%d\r\n" % len(words) + b"".join(
-            b"$%d\r\n%s\r\n" % (len(word), word) for word in words), False)
+        return spoken(
+            told.address,
+            b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words),
+            False,
+        )
     if told.order == "tell":
         return spoken(told.address, " ".join(told.words).encode() + b"\n", True)
     if told.story is not None:
         import asyncio
 
         from .stories import STORIES
+
         if told.story not in STORIES:
             parser.error(f"--story must be one of {', '.join(STORIES)}")
         if not 3 <= told.size <= 20 or told.seeds < 1:
@@ -96,6 +108,7 @@
         except asyncio.CancelledError:
             return 130
     from .show import main as show
+
     return show()
 
 
--- a/linkdock/lab/processes/checks.py
+++ b/linkdock/lab/processes/checks.py
@@ -37,7 +37,7 @@
 def one_order(history: Events) -> list[str]:
     """Every entry is the same at all processes, in the log's order, and one command takes one place only."""
     found, log, places = [], {}, {}
-    last: dict[str, int] = {}   # by process: the entry applied before; none after an image, which stands for many
+    last: dict[str, int] = {}  # by process: the entry applied before; none after an image, which stands for many
     steps: list[tuple[str, int, int]] = []
     for one in _of(history, "begins", "image", "applied"):
         who = one["who"]
@@ -67,8 +67,8 @@
     A read that begins after an acknowledgement, or after another read was answered, shows no older state.
     """
     found, log = [], {one["op"]: one["index"] for one in _of(history, "applied")}
-    asked, settled = {}, 0    # of each proposal what was settled when it was asked; the highest index answered
-    marks = [(0.0, 0)]        # from when on which index must be seen
+    asked, settled = {}, 0  # of each proposal what was settled when it was asked; the highest index answered
+    marks = [(0.0, 0)]  # from when on which index must be seen
     for one in history:
         match one["event"]:
             case "asked":
@@ -84,8 +84,9 @@
             case "reading":
                 must = next((index for at, index in reversed(marks) if at <= one["begun"]), 0)
                 if one["index"] < must:
-                    found.append(f"a read at {one['who']} begun at {one['begun']:.3f} s shows {one['index']}, "
-                                 f"not {must}")
+                    found.append(
+                        f"a read at {one['who']} begun at {one['begun']:.3f} s shows {one['index']}, " f"not {must}"
+                    )
                 settled = max(settled, one["index"])
                 marks.append((one["at"], settled))
     return found
@@ -113,7 +114,7 @@
 
 def one_owner(history: Events) -> list[str]:
     """No two believe in one lease at a time; the resource lets tokens in that only rise, each of one holder."""
-    found, belief = [], defaultdict(list)   # by name: [from, until, token, who]
+    found, belief = [], defaultdict(list)  # by name: [from, until, token, who]
     for one in _of(history, "holds", "ceased"):
         mine = [span for span in belief[one["name"]] if span[2:] == [one["token"], one["who"]]]
         if one["event"] == "ceased":
@@ -124,12 +125,14 @@
         else:
             belief[one["name"]].append([one["since"], one["until"], one["token"], one["who"]])
     for name, spans in belief.items():
-        longest: dict[str, tuple[float, int]] = {}   # of each holder the belief that lasts longest
+        longest: dict[str, tuple[float, int]] = {}  # of each holder the belief that lasts longest
         for begun, until, token, who in sorted(spans):
             for other, (over, earlier) in longest.items():
                 if begun < over and who != other:
-                    found.append(f"{name}: {other} (token {earlier}) until {over:.3f} s, {who} (token {token}) "
-                                 f"from {begun:.3f} s")
+                    found.append(
+                        f"{name}: {other} (token {earlier}) until {over:.3f} s, {who} (token {token}) "
+                        f"from {begun:.3f} s"
+                    )
             longest[who] = max(longest.get(who, (0.0, 0)), (until, token))
     let_in: dict[str, tuple[int, str]] = {}
     for one in _of(history, "used"):
@@ -175,6 +178,7 @@
 
 def lively(within: float) -> Check:
     """Once all is healed a proposal is asked and acknowledged within so many seconds."""
+
     def check(history: Events) -> list[str]:
         healed = [one["at"] for one in _of(history, "healed all")]
         if not healed:
@@ -184,6 +188,7 @@
         if not took or min(took) > within:
             return [f"no commit within {within:g} s of the healing" + (f" but after {min(took):.2f} s" if took else "")]
         return []
+
     return check
 
 
--- a/linkdock/lab/processes/child.py
+++ b/linkdock/lab/processes/child.py
@@ -23,9 +23,9 @@
     from ...cluster.leases import Command, Held
     from ...cluster.node import Node
 
-MOST_ORDERS = 1024   # at a time
-DEADLINE = 2.0       # seconds of an order that names none
-LOOK = 0.01          # seconds between looks at what the node does not tell by itself
+MOST_ORDERS = 1024  # at a time
+DEADLINE = 2.0  # seconds of an order that names none
+LOOK = 0.01  # seconds between looks at what the node does not tell by itself
 
 
 class Wall:
@@ -42,7 +42,7 @@
     """Whole lines, at once: what was said before a SIGKILL has been said."""
     data = json.dumps(told, separators=(",", ":")).encode() + b"\n"
     while data:
-        data = data[os.write(1, data):]
+        data = data[os.write(1, data) :]
 
 
 class Control:
@@ -50,14 +50,15 @@
 
     def __init__(self, wall: Wall, node: Node | None, stop: Callable[[], None]) -> None:
         self._wall, self._node, self._stop = wall, node, stop
-        self._held: dict[str, Held] = {}              # the last of each name, also when it is over
+        self._held: dict[str, Held] = {}  # the last of each name, also when it is over
         self._works: dict[str, asyncio.Task] = {}
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
         reader = asyncio.StreamReader(limit=1 << 20)
         transport, _ = await asyncio.get_running_loop().connect_read_pipe(
-            lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
+            lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
+        )
         try:
             while line := await reader.readline():
                 if len(self._tasks) >= MOST_ORDERS:
@@ -79,7 +80,7 @@
             answer = await asyncio.wait_for(order(deadline, **told), deadline + 1.0)
             point("answer")
             say({"re": number, **(answer or {})})
-        except Exception as bad:   # whatever was ordered, its answer says what became of it
+        except Exception as bad:  # whatever was ordered, its answer says what became of it
             say({"re": number, "error": getattr(bad, "code", type(bad).__name__), "text": str(bad)})
 
     async def do_wall(self, deadline: float, seconds: float) -> None:
@@ -94,6 +95,7 @@
     async def do_put(self, deadline: float, key: str, value: str) -> dict:
         """Propose an entry. Its index in the log."""
         from ...cluster.leases import Done, Put
+
         began = time.monotonic()
         answer = await self._node.propose(Put(key, value.encode()), deadline)
         if not isinstance(answer, Done):
@@ -114,6 +116,7 @@
 
     async def do_acquire(self, deadline: float, name: str, ttl: float) -> dict:
         from ...cluster.leases import Held
+
         held = await self._node.acquire(name, ttl, deadline)
         since = time.monotonic()
         if not isinstance(held, Held):
@@ -166,6 +169,7 @@
 
     async def _work(self, name: str, ttl: float, pause: float, uses: int) -> None:
         from ...cluster.errors import ClusterError
+
         while True:
             try:
                 if "token" in await self.do_acquire(DEADLINE, name, ttl):
@@ -176,7 +180,7 @@
                         await asyncio.sleep(pause)
                     await self._release(held, DEADLINE)
             except ClusterError:
-                pass   # it comes again
+                pass  # it comes again
             await asyncio.sleep(pause)
 
 
@@ -191,18 +195,26 @@
         # The same request may stand in the log twice; it is carried out once.
         first = isinstance(command, Put) and isinstance(answer, Done) and answer.index == index
         say({"event": "applied", "index": index, "op": command.key if first else "", "what": type(command).__name__})
+
     node.watch(applied)
     known: dict[str, object] = {}
-    look = float(os.environ.get("LINKDOCK_LOOK", LOOK))   # Danger: looking is not free where cost is measured
+    look = float(os.environ.get("LINKDOCK_LOOK", LOOK))  # Danger: looking is not free where cost is measured
     while True:
         stats = node.stats()
-        now = {"node": stats["id"], "failed": stats["failed"], "leads": stats.get("term") if stats.get("leading")
-               else None, "members": {key[8:]: count for key, count in stats.items() if key.startswith("members_")},
-               "voters": stats.get("voters")}
+        now = {
+            "node": stats["id"],
+            "failed": stats["failed"],
+            "leads": stats.get("term") if stats.get("leading") else None,
+            "members": {key[8:]: count for key, count in stats.items() if key.startswith("members_")},
+            "voters": stats.get("voters"),
+        }
         for word, what in now.items():
             if what and what != known.get(word):
-                more = {"term": what, "id": stats["id"]} if word == "leads" else {
-                    {"node": "id", "failed": "code"}.get(word, word): what}
+                more = (
+                    {"term": what, "id": stats["id"]}
+                    if word == "leads"
+                    else {{"node": "id", "failed": "code"}.get(word, word): what}
+                )
                 say({"event": word, **more})
         if known.get("leads") and not now["leads"]:
             say({"event": "follows", "term": stats.get("term"), "leader": stats.get("leader")})
@@ -213,6 +225,7 @@
 async def _run(wall: Wall) -> int:
     from ...service.config import load
     from ...service.run import Process
+
     process = Process(load())
     node = process.node
     tasks = [asyncio.create_task(Control(wall, node, process.stop).run())]
@@ -229,9 +242,9 @@
     wall = Wall()
     wall.put_on()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO,
-                        format="%(asctime)s %(name)s %(levelname)s %(message)s")
+    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(name)s %(levelname)s %(message)s")
     from ...service.config import ConfigError
+
     try:
         return asyncio.run(_run(wall))
     except ConfigError as bad:
--- a/linkdock/lab/processes/cost.py
+++ b/linkdock/lab/processes/cost.py
@@ -21,9 +21,9 @@
 from .schedule import Fault
 from .stories import begun
 
-RATE, SECONDS, LIMIT = 60.0, 8.0, 4.0   # messages a second at each sender, for how long, seconds that each has
-WARM = 3.0                              # seconds of load before
-REST, WATCHED = 5.0, 20.0               # seconds after the start, and those in which idleness is measured
+RATE, SECONDS, LIMIT = 60.0, 8.0, 4.0  # messages a second at each sender, for how long, seconds that each has
+WARM = 3.0  # seconds of load before
+REST, WATCHED = 5.0, 20.0  # seconds after the start, and those in which idleness is measured
 
 
 async def as_it_is(fleet: Fleet) -> None:
@@ -39,12 +39,15 @@
     await begun(fleet)
     for key, way in enumerate((a, b) for a in fleet.zones for b in fleet.zones if a != b):
         fleet.net.begin(key, Fault(0.0, schedule.CUT, way, 1e6))
-    await asyncio.sleep(2.5)   # the last leader has stepped down
+    await asyncio.sleep(2.5)  # the last leader has stepped down
 
 
 CASES: dict[str, tuple[dict, Callable[[Fleet], Awaitable[None]]]] = {
-    "off": ({"on": False}, as_it_is), "quorum": ({}, with_quorum), "lost": ({}, without_quorum),
-    "founders missing": ({"founders": ["nobody1", "nobody2", "nobody3"]}, as_it_is)}
+    "off": ({"on": False}, as_it_is),
+    "quorum": ({}, with_quorum),
+    "lost": ({}, without_quorum),
+    "founders missing": ({"founders": ["nobody1", "nobody2", "nobody3"]}, as_it_is),
+}
 
 
 async def _load(fleet: Fleet, luck: Random, handed: dict[str, float], seconds: float, number: int) -> None:
@@ -57,6 +60,7 @@
         began = time.monotonic()
         if (await client.enqueue(name, "order", LIMIT, to)).startswith("+OK"):
             handed[name] = began
+
     due = time.monotonic()
     try:
         while due < until:
@@ -89,9 +93,14 @@
         spent = sum(process.cpu() for process in fleet.processes.values()) - before
         asked, arrived = handed.pop("asked"), fleet.members.arrived
         took = sorted(arrived[name] - began for name, began in handed.items() if fleet.members.effects[name])
-        good = sum(one <= LIMIT for one in took)   # a client whose connection is closed under it does not ask again
-        return {"share": good / asked, "share of taken": good / len(handed), "p50 ms": 1000 * took[len(took) // 2],
-                "p99 ms": 1000 * took[int(len(took) * 0.99)], "cpu ms a message": 1000 * spent / asked}
+        good = sum(one <= LIMIT for one in took)  # a client whose connection is closed under it does not ask again
+        return {
+            "share": good / asked,
+            "share of taken": good / len(handed),
+            "p50 ms": 1000 * took[len(took) // 2],
+            "p99 ms": 1000 * took[int(len(took) * 0.99)],
+            "cpu ms a message": 1000 * spent / asked,
+        }
 
 
 async def idle(case: str, size: int, seed: int) -> dict[str, float]:
@@ -105,15 +114,19 @@
         async def sent() -> list[float]:
             stats = [await process.ask("stats", 5.0) for process in processes]
             return [sum(one.get(key, 0) for one in stats) for key in ("bytes_out", "datagram_bytes_out")]
+
         first, cpu = await sent(), sum(process.cpu() for process in processes)
         await asyncio.sleep(WATCHED)
         last, spent = await sent(), sum(process.cpu() for process in processes) - cpu
         files = [file for process in processes for file in (process.path / "state").rglob("*") if file.is_file()]
         frames, datagrams = (after - before for before, after in zip(first, last, strict=True))
-        return {"frames B/s": frames / size / WATCHED, "datagrams B/s": datagrams / size / WATCHED,
-                "cpu s": spent / size,
-                "RSS MB": sum(process.memory() for process in processes) / size / 1e6,
-                "disk kB": sum(file.stat().st_blocks * 512 for file in files) / size / 1e3}
+        return {
+            "frames B/s": frames / size / WATCHED,
+            "datagrams B/s": datagrams / size / WATCHED,
+            "cpu s": spent / size,
+            "RSS MB": sum(process.memory() for process in processes) / size / 1e6,
+            "disk kB": sum(file.stat().st_blocks * 512 for file in files) / size / 1e3,
+        }
 
 
 def main() -> None:
@@ -127,13 +140,16 @@
     found: dict[str, list[dict[str, float]]] = {case: [] for case in cases}
     for seed in range(1, told.seeds + 1):
         for case in cases:
-            found[case].append(asyncio.run(
-                deliver(case, seed) if told.what == "deliver" else idle(case, told.size, seed)))
+            found[case].append(
+                asyncio.run(deliver(case, seed) if told.what == "deliver" else idle(case, told.size, seed))
+            )
             print(seed, case, {key: round(value, 3) for key, value in found[case][-1].items()}, flush=True)
     for case, all_of in found.items():
         values = {key: sorted(one[key] for one in all_of) for key in all_of[0]}
-        print(f"{case}: " + ", ".join(f"{key} {median(of):.3f} ({of[0]:.3f} to {of[-1]:.3f})"
-                                      for key, of in values.items()))
+        print(
+            f"{case}: "
+            + ", ".join(f"{key} {median(of):.3f} ({of[0]:.3f} to {of[-1]:.3f})" for key, of in values.items())
+        )
 
 
 if __name__ == "__main__":
--- a/linkdock/lab/processes/fleet.py
+++ b/linkdock/lab/processes/fleet.py
@@ -19,7 +19,7 @@
 from .. import rig
 from .history import History
 
-START, END = 30.0, 8.0   # seconds for a start, and for an end that was asked for
+START, END = 30.0, 8.0  # seconds for a start, and for an end that was asked for
 MOST_LINE = 4 << 20
 ROOT = Path(__file__).parent.parent.parent.parent
 _LIBC = ctypes.CDLL(None, use_errno=True) if sys.platform == "linux" else None
@@ -37,12 +37,13 @@
 
     module = "linkdock"
 
-    def __init__(self, name: str, agent: rig.Agent, told: dict, deploy: dict[str, dict] | None = None,
-                 root: str | None = None) -> None:
+    def __init__(
+        self, name: str, agent: rig.Agent, told: dict, deploy: dict[str, dict] | None = None, root: str | None = None
+    ) -> None:
         """`root` names the tree of another version of the program."""
         super().__init__(agent, deploy or {}, {}, told, root)
         self.name, self.lives, self.process = name, 0, None
-        self.extra: dict[str, str] = {}   # of the environment of the next life
+        self.extra: dict[str, str] = {}  # of the environment of the next life
         config = json.loads((self.path / "config.json").read_text())
         config |= {"name": name, "admin_addr": "127.0.0.1:0"}
         (self.path / "config.json").write_text(json.dumps(config))
@@ -61,16 +62,29 @@
         if self.alive:
             raise RuntimeError(f"{self.name} runs already")
         self.lives += 1
-        env = {**os.environ, "RELAY_CONFIG": str(self.path / "config.json"), "RELAY_STATE": str(self.path / "state"),
-               "LINKDOCK_DEPLOY": str(self.path / "deploy"), **self.extra}
+        env = {
+            **os.environ,
+            "RELAY_CONFIG": str(self.path / "config.json"),
+            "RELAY_STATE": str(self.path / "state"),
+            "LINKDOCK_DEPLOY": str(self.path / "deploy"),
+            **self.extra,
+        }
         if self.lives > 1:
             self.log.close()
             (self.path / "log").rename(self.path / "log.before")
         self.log = open(self.path / "log", "wb")
         # Danger: Ctrl-C on a terminal goes to the whole group, and children would end before they are told to.
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", self.module, env=env, stderr=self.log, cwd=self._root, start_new_session=True,
-            preexec_fn=_die_with_parent, **pipes)
+            sys.executable,
+            "-m",
+            self.module,
+            env=env,
+            stderr=self.log,
+            cwd=self._root,
+            start_new_session=True,
+            preexec_fn=_die_with_parent,
+            **pipes,
+        )
 
     def signal(self, number: int) -> None:
         if self.alive:
@@ -108,8 +122,8 @@
     def __init__(self, name: str, zone: str, history: History, *told: object, **more: object) -> None:
         super().__init__(name, *told, **more)
         self.zone, self.history, self.id = zone, history, ""
-        self.turn = asyncio.Lock()   # of who starts and ends it
-        self.expected = True         # that it ends
+        self.turn = asyncio.Lock()  # of who starts and ends it
+        self.expected = True  # that it ends
         self._answers: dict[int, asyncio.Future] = {}
         self._number, self._reader = 0, None
 
@@ -122,7 +136,7 @@
         self.port = int((await self.logged("listens on ", START)).rsplit(":", 1)[1])
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
-        with contextlib.suppress(ValueError, ConnectionError):   # a line beyond all bounds
+        with contextlib.suppress(ValueError, ConnectionError):  # a line beyond all bounds
             while line := await process.stdout.readline():
                 self._heard(line)
         status = await process.wait()
@@ -134,13 +148,13 @@
     def _heard(self, line: bytes) -> None:
         try:
             told = json.loads(line)
-        except ValueError:   # torn by the end of the process
+        except ValueError:  # torn by the end of the process
             return
         answer = self._answers.pop(told.get("re"), None)
         if answer is not None and not answer.done():
             answer.set_result(told)
         elif "event" in told:
-            for key in ("since", "until"):   # the clock is the machine's, one for all processes
+            for key in ("since", "until"):  # the clock is the machine's, one for all processes
                 if key in told:
                     told[key] = round(told[key] - self.history.began, 6)
             self.id = told["id"] if told["event"] == "node" else self.id
@@ -189,8 +203,11 @@
         """Writes to files fail from now on, or no more. For this life alone."""
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
-                resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (
-                    0 if full else resource.RLIM_INFINITY, resource.RLIM_INFINITY))
+                resource.prlimit(
+                    self.process.pid,
+                    resource.RLIMIT_FSIZE,
+                    (0 if full else resource.RLIM_INFINITY, resource.RLIM_INFINITY),
+                )
 
     def close(self) -> None:
         if self._reader is not None:
--- a/linkdock/lab/processes/history.py
+++ b/linkdock/lab/processes/history.py
@@ -20,7 +20,7 @@
         self.began, self._clock = clock(), clock
         self._file = open(path, "w", buffering=1) if path is not None else None
         self._news = asyncio.Event()
-        self.told: list[Callable[[dict], None]] = []   # called with each event
+        self.told: list[Callable[[dict], None]] = []  # called with each event
 
     @property
     def now(self) -> float:
--- a/linkdock/lab/processes/links.py
+++ b/linkdock/lab/processes/links.py
@@ -14,10 +14,10 @@
 
 from . import schedule
 
-MOST_HELD = 256 << 10     # bytes of a stream on their way in one direction; beyond, it is not read from
-MOST_DATAGRAMS = 2000     # on their way; beyond, the last is lost
-AGAIN = 0.2               # seconds until a lost piece of a stream would have been sent again
-SHUFFLED = 0.05           # seconds at the most by which a datagram comes late, behind others
+MOST_HELD = 256 << 10  # bytes of a stream on their way in one direction; beyond, it is not read from
+MOST_DATAGRAMS = 2000  # on their way; beyond, the last is lost
+AGAIN = 0.2  # seconds until a lost piece of a stream would have been sent again
+SHUFFLED = 0.05  # seconds at the most by which a datagram comes late, behind others
 CONNECT = 2.0
 
 
@@ -26,7 +26,7 @@
 
     def __init__(self, name: str, luck: Random) -> None:
         self.name, self._luck, self._faults = name, luck, {}
-        self.streams: set[Side] = set()   # what waits on it
+        self.streams: set[Side] = set()  # what waits on it
         self.cut = False
         self.lost = 0
 
@@ -47,8 +47,11 @@
         return any(kind == what and self._luck.random() < given["share"] for kind, given in self._faults.values())
 
     def _late(self) -> float:
-        return sum(given["seconds"] + given["jitter"] * self._luck.random()
-                   for what, given in self._faults.values() if what == schedule.DELAY)
+        return sum(
+            given["seconds"] + given["jitter"] * self._luck.random()
+            for what, given in self._faults.values()
+            if what == schedule.DELAY
+        )
 
     def piece(self) -> float:
         """By how much a piece of a stream comes late."""
@@ -64,8 +67,10 @@
             self.lost += 1
             return []
         times = 2 if self._chance(schedule.TWICE) else 1
-        return [self._late() + (SHUFFLED * self._luck.random() if self._chance(schedule.SHUFFLE) else 0.0)
-                for _ in range(times)]
+        return [
+            self._late() + (SHUFFLED * self._luck.random() if self._chance(schedule.SHUFFLE) else 0.0)
+            for _ in range(times)
+        ]
 
     def rubbish(self, size: int) -> bytes:
         return self._luck.randbytes(size)
@@ -78,9 +83,9 @@
         self.link, self.way = link, way
         self.other: Side | None = None
         self.transport: asyncio.Transport | None = None
-        self.gone = False              # this end; what came before still goes on to the other
-        self.kept = False              # Danger: the other end of a half open one is not told
-        self._queue: deque[tuple[float, bytes | None]] = deque()   # None: this end is over
+        self.gone = False  # this end; what came before still goes on to the other
+        self.kept = False  # Danger: the other end of a half open one is not told
+        self._queue: deque[tuple[float, bytes | None]] = deque()  # None: this end is over
         self._held, self._last, self._paused, self._full = 0, 0.0, False, False
         self._timer: asyncio.TimerHandle | None = None
 
@@ -174,7 +179,7 @@
             port = server.sockets[0].getsockname()[1]
             try:
                 self._udp, _ = await loop.create_datagram_endpoint(lambda: self, ("127.0.0.1", port))
-            except OSError:   # somebody else has that one for datagrams
+            except OSError:  # somebody else has that one for datagrams
                 server.close()
                 continue
             self._server, self.port = server, port
@@ -201,7 +206,7 @@
         except (OSError, TimeoutError):
             near.drop()
             return
-        if near.kept:   # dropped meanwhile
+        if near.kept:  # dropped meanwhile
             far.drop()
 
     # --- Datagrams.
--- a/linkdock/lab/processes/play.py
+++ b/linkdock/lab/processes/play.py
@@ -23,8 +23,8 @@
 
 ZONES = "abcdefg"
 MEMBERS = 4
-LOWEST, HIGHEST = 20_000, 32_000   # ports that the system does not give out by itself
-PATIENCE = 1.5                     # seconds beyond its deadline until an order counts as not answered
+LOWEST, HIGHEST = 20_000, 32_000  # ports that the system does not give out by itself
+PATIENCE = 1.5  # seconds beyond its deadline until an order counts as not answered
 
 
 def free_ports(count: int) -> list[int]:
@@ -45,27 +45,34 @@
 
 def zones_of(size: int) -> dict[str, str]:
     """Names of so many processes, each with its zone: three zones, four from 12 on."""
-    zones = ZONES[:3 if size < 12 else 4]
+    zones = ZONES[: 3 if size < 12 else 4]
     return {f"{zones[n % len(zones)]}{n // len(zones) + 1}": zones[n % len(zones)] for n in range(size)}
 
 
 class Fleet:
     """Owner of processes, links, peers and load. `async with` gives all of it back, however it ends."""
 
-    def __init__(self, history: History, size: int = 3, seed: int = 1, told: dict | None = None,
-                 roots: dict[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        history: History,
+        size: int = 3,
+        seed: int = 1,
+        told: dict | None = None,
+        roots: dict[str, str] | None = None,
+    ) -> None:
         """`told` goes into deploy/cluster.json; `roots` names trees of other versions, by process."""
         self.history, self.zones, self._luck = history, zones_of(size), Random(seed)
         self.voters = 3 if size < 5 else 5
         self._size, self._seed, self._told, self._roots = size, seed, told or {}, roots or {}
         self.agent = rig.Agent()
-        self.members = rig.Members({n: Member(n, Rules(), Random(n), rate=2000.0, service=0.01)
-                                    for n in range(MEMBERS)})
+        self.members = rig.Members(
+            {n: Member(n, Rules(), Random(n), rate=2000.0, service=0.01) for n in range(MEMBERS)}
+        )
         self.processes: dict[str, Led] = {}
         self.fence = Fence(lambda: None, lambda data: None)
         self._tasks: set[asyncio.Task] = set()
         self._up, self._messages = False, 0
-        self.leader: str | None = None   # who said last that it leads, if it lives and has not said otherwise
+        self.leader: str | None = None  # who said last that it leads, if it lives and has not said otherwise
         history.told.append(self._happened)
 
     def _happened(self, one: dict) -> None:
@@ -74,14 +81,15 @@
                 self.leader = one["who"]
             case "follows" | "ended" | "begins" if one["who"] == self.leader:
                 self.leader = None
-            case "uses":   # the harness keeps the resource: tokens are judged in the order in which they come
+            case "uses":  # the harness keeps the resource: tokens are judged in the order in which they come
                 try:
                     self.fence.check(one["name"], one["token"], self.processes[one["who"]].id)
                     ok = True
                 except Fenced:
                     ok = False
-                self.history.append(one["who"], "used", name=one["name"], token=one["token"], ok=ok,
-                                    believed=one["believed"])
+                self.history.append(
+                    one["who"], "used", name=one["name"], token=one["token"], ok=ok, believed=one["believed"]
+                )
 
     async def __aenter__(self) -> Fleet:
         try:
@@ -95,21 +103,48 @@
         await self.agent.start()
         await self.members.start()
         self._up = True
-        self.agent.list(lambda: ({"host": f"m{n}", "dial": self.members.dial, "site": "a", "class": "single",
-                                  "block": n, "health": "ready", "share": 1.0, "born_ms": 0} for n in range(MEMBERS)))
+        self.agent.list(
+            lambda: (
+                {
+                    "host": f"m{n}",
+                    "dial": self.members.dial,
+                    "site": "a",
+                    "class": "single",
+                    "block": n,
+                    "health": "ready",
+                    "share": 1.0,
+                    "born_ms": 0,
+                }
+                for n in range(MEMBERS)
+            )
+        )
         ports = dict(zip(self.zones, free_ports(self._size), strict=True))
         self.net = Net(ports, self._luck.getrandbits(32))
         await self.net.open()
-        founders = list(self.zones)[:self.voters]
+        founders = list(self.zones)[: self.voters]
         for name, zone in self.zones.items():
             routes = self.net.routes(name)
-            cluster = {"on": True, "cluster": "laboratory", "key": "the key of the laboratory", "zone": zone,
-                       "listen": f"127.0.0.1:{ports[name]}", "routes": routes, "founders": founders,
-                       "voters": self.voters, "seeds": [routes[one] for one in founders if one != name], **self._told}
+            cluster = {
+                "on": True,
+                "cluster": "laboratory",
+                "key": "the key of the laboratory",
+                "zone": zone,
+                "listen": f"127.0.0.1:{ports[name]}",
+                "routes": routes,
+                "founders": founders,
+                "voters": self.voters,
+                "seeds": [routes[one] for one in founders if one != name],
+                **self._told,
+            }
             self.processes[name] = Led(
-                name, zone, self.history, self.agent, {**rig.settings(16, 400), "balancers": self._size,
-                                                       "me": list(self.zones).index(name)},
-                {"cluster": cluster}, root=self._roots.get(name))
+                name,
+                zone,
+                self.history,
+                self.agent,
+                {**rig.settings(16, 400), "balancers": self._size, "me": list(self.zones).index(name)},
+                {"cluster": cluster},
+                root=self._roots.get(name),
+            )
         self.history.append(HARNESS, "fleet", zones=self.zones, seed=self._seed)
         await asyncio.gather(*(process.start() for process in self.processes.values()))
 
@@ -141,8 +176,11 @@
         schedule.check(faults, list(self.zones), healed_by)
         began = asyncio.get_running_loop().time()
         due = [(fault.at, 1, n, fault) for n, fault in enumerate(faults)]
-        due += [(fault.healed, 0, n, fault) for n, fault in enumerate(faults) if fault.what not in (
-            schedule.RESET, schedule.RUBBISH, schedule.JUMP)]
+        due += [
+            (fault.healed, 0, n, fault)
+            for n, fault in enumerate(faults)
+            if fault.what not in (schedule.RESET, schedule.RUBBISH, schedule.JUMP)
+        ]
         heapq.heapify(due)
         tasks = []
         while due:
@@ -159,7 +197,7 @@
         await self.make_good()
 
     async def _befall(self, process: Led, fault: Fault) -> None:
-        if fault.what == schedule.JUMP:   # asked of one that is stopped it would put off that one's healing
+        if fault.what == schedule.JUMP:  # asked of one that is stopped it would put off that one's healing
             await process.ask("wall", 2.0, seconds=fault.given["seconds"])
             return
         async with process.turn:
@@ -180,7 +218,7 @@
             match fault.what:
                 case schedule.STOP:
                     process.signal(signal.SIGCONT)
-                case schedule.FULL:   # as an operator does: room first, then a restart
+                case schedule.FULL:  # as an operator does: room first, then a restart
                     process.fill_disk(False)
                     await process.stop()
                     await process.start()
@@ -203,6 +241,7 @@
             if there is not None:
                 await process.kill()
             return there is not None
+
         return self.spawn(die())
 
     async def make_good(self) -> None:
@@ -221,8 +260,14 @@
         """Propose `op` at a process, on record. Its index, or None if it was not acknowledged."""
         self.history.append(HARNESS, "asked", op=op, of=name)
         told = await self.processes[name].ask("put", deadline + PATIENCE, key=op, value="x", deadline=deadline)
-        self.history.append(HARNESS, "answered", op=op, of=name, ok="index" in told,
-                            **{key: told[key] for key in ("index", "ms", "error", "text") if key in told})
+        self.history.append(
+            HARNESS,
+            "answered",
+            op=op,
+            of=name,
+            ok="index" in told,
+            **{key: told[key] for key in ("index", "ms", "error", "text") if key in told},
+        )
         return told.get("index")
 
     async def read(self, name: str) -> int | None:
@@ -272,7 +317,7 @@
         try:
             until, said = self.history.now + patience, ""
             while not self.members.effects[message] and self.history.now < until:
-                if not said.startswith("+OK"):   # one that has just started may not have its list yet
+                if not said.startswith("+OK"):  # one that has just started may not have its list yet
                     said = await client.enqueue(message, "order", patience, self._messages % MEMBERS)
                 await asyncio.sleep(0.02)
             return bool(self.members.effects[message])
--- a/linkdock/lab/processes/schedule.py
+++ b/linkdock/lab/processes/schedule.py
@@ -13,7 +13,7 @@
 STOP, KILL, LOSE, FULL, LEAVE, JUMP = "stop", "kill", "lose", "full", "leave", "jump"
 WAYS = (CUT, DELAY, LOSS, TWICE, SHUFFLE, HALF_OPEN, RESET, RUBBISH)
 PROCESSES = (STOP, KILL, LOSE, FULL, LEAVE, JUMP)
-ENDS = (KILL, LOSE, LEAVE)   # the process is down until the fault is healed
+ENDS = (KILL, LOSE, LEAVE)  # the process is down until the fault is healed
 
 MOST_FAULTS = 1000
 
@@ -25,7 +25,7 @@
     what: str
     whom: tuple[str, ...]
     lasting: float = 0.0
-    given: dict[str, float] = {}   # never changed
+    given: dict[str, float] = {}  # never changed
 
     @property
     def healed(self) -> float:
@@ -68,15 +68,16 @@
     return {}
 
 
-def storm(seed: int, zones: dict[str, str], seconds: float, faults: int | None = None,
-          loses: bool = True) -> list[Fault]:
+def storm(
+    seed: int, zones: dict[str, str], seconds: float, faults: int | None = None, loses: bool = True
+) -> list[Fault]:
     """A storm on processes (name: zone): parted zones, bad ways, ends of processes, in any order and mixture.
 
     Processes are down or stopped one at a time and never the majority (what is down with a majority lost is a story of
     its own), parted and bad ways any. With `loses` one folder may be lost in a storm, at the most.
     """
     luck, names, made = Random(seed), list(zones), []
-    down: list[tuple[float, float]] = []   # when a process is
+    down: list[tuple[float, float]] = []  # when a process is
     lost = not loses
     for _ in range(faults if faults is not None else luck.randrange(4, 9)):
         at = round(luck.uniform(0.0, seconds * 0.8), 3)
--- a/linkdock/lab/processes/show.py
+++ b/linkdock/lab/processes/show.py
@@ -47,24 +47,42 @@
     async def open(self) -> None:
         await self.agent.start()
         await self.members.start()
-        self.agent.list(lambda: ({"host": f"m{n}", "dial": self.members.dial, "site": "a", "class": "single",
-                                  "block": n, "health": "ready", "share": 1.0, "born_ms": 0} for n in range(MEMBERS)))
+        self.agent.list(
+            lambda: (
+                {
+                    "host": f"m{n}",
+                    "dial": self.members.dial,
+                    "site": "a",
+                    "class": "single",
+                    "block": n,
+                    "health": "ready",
+                    "share": 1.0,
+                    "born_ms": 0,
+                }
+                for n in range(MEMBERS)
+            )
+        )
         for n in range(SENDERS):
             self.children.append(Child(f"n{n + 1}", self.agent, {**self._told, "balancers": SENDERS, "me": n}))
         await asyncio.gather(*(child.start() for child in self.children))
 
     def lines(self) -> list[str]:
         first = self.children[0]
-        return [*(f"{c.name}  clients 127.0.0.1:{c.port}  operators 127.0.0.1:{c.operators}  pid {c.process.pid}"
-                  for c in self.children),
-                f"{MEMBERS} backend servers at {self.members.dial} as destinations 0 to {MEMBERS - 1}, discovery at "
-                f"{self.agent.dial}",
-                "Try, in another terminal:",
-                f"  {HERE} ask 127.0.0.1:{first.port} PING",
-                f"  {HERE} ask 127.0.0.1:{first.port} ENQUEUE 0000000000000000 hello-1 c=order,d=8000,dest=2 Good-day",
-                f"  {HERE} tell 127.0.0.1:{first.operators} stats",
-                f"  {HERE} tell 127.0.0.1:{first.operators} maint-on m2      (maint-off m2: back again)",
-                "Ctrl-C ends all of it.", ""]
+        return [
+            *(
+                f"{c.name}  clients 127.0.0.1:{c.port}  operators 127.0.0.1:{c.operators}  pid {c.process.pid}"
+                for c in self.children
+            ),
+            f"{MEMBERS} backend servers at {self.members.dial} as destinations 0 to {MEMBERS - 1}, discovery at "
+            f"{self.agent.dial}",
+            "Try, in another terminal:",
+            f"  {HERE} ask 127.0.0.1:{first.port} PING",
+            f"  {HERE} ask 127.0.0.1:{first.port} ENQUEUE 0000000000000000 hello-1 c=order,d=8000,dest=2 Good-day",
+            f"  {HERE} tell 127.0.0.1:{first.operators} stats",
+            f"  {HERE} tell 127.0.0.1:{first.operators} maint-on m2      (maint-off m2: back again)",
+            "Ctrl-C ends all of it.",
+            "",
+        ]
 
     async def trickle(self) -> None:
         """Messages in turn to each sender that lives."""
@@ -97,8 +115,10 @@
         for table in (self.members.effects, self.members.came, self.members.arrived, self.agent.notices):
             table.clear()
         taken = ", ".join(f"{c.name} {self.handed[c.name]}{'' if c.alive else ' (ended)'}" for c in self.children)
-        return (f"{since:5.0f} s  taken: {taken}; delivered {self.delivered}, ended by a notice {self.noticed}, "
-                f"turned away {self.refused}")
+        return (
+            f"{since:5.0f} s  taken: {taken}; delivered {self.delivered}, ended by a notice {self.noticed}, "
+            f"turned away {self.refused}"
+        )
 
     async def close(self) -> None:
         try:
@@ -107,7 +127,7 @@
             for child in self.children:
                 child.close()
             for peer in (self.members, self.agent):
-                with contextlib.suppress(AttributeError):   # never started
+                with contextlib.suppress(AttributeError):  # never started
                     peer.close()
 
 
--- a/linkdock/lab/processes/stories.py
+++ b/linkdock/lab/processes/stories.py
@@ -17,13 +17,13 @@
 from .play import Fleet, running, zones_of
 from .schedule import Fault
 
-FIRST = 15.0      # seconds for the first leader of a new fleet
-NEXT = 2.0        # and for the next one after its end
-WITHIN = 10.0     # seconds after all is healed until a proposal must have been acknowledged
-STORM = 8.0       # seconds of a storm
-RATE = 25.0       # proposals and reads a second
-TTL = 1.0         # seconds of a lease
-MOST = 240.0      # seconds of a story
+FIRST = 15.0  # seconds for the first leader of a new fleet
+NEXT = 2.0  # and for the next one after its end
+WITHIN = 10.0  # seconds after all is healed until a proposal must have been acknowledged
+STORM = 8.0  # seconds of a storm
+RATE = 25.0  # proposals and reads a second
+TTL = 1.0  # seconds of a lease
+MOST = 240.0  # seconds of a story
 
 
 class Wrong(LinkdockError):
@@ -67,6 +67,7 @@
         if one["event"] == "voters" and len(one["voters"]) == fleet.voters:
             known.add(one["who"])
         return len(known) == len(fleet.zones)
+
     must(await fleet.history.seen(full, FIRST), f"not all know of {fleet.voters} voters within {FIRST:g} s")
     must(fleet.leader, "the first leader has gone by itself")
     return fleet.leader
@@ -153,7 +154,7 @@
     playing = fleet.spawn(fleet.play([Fault(0.0, schedule.STOP, (owner,), 3.0)], 3.0))
     # Danger: a signal takes a moment; what is asked before that is still done at once.
     await within(1.0, lambda: standing_still(fleet.processes[owner].process.pid))
-    late = fleet.spawn(fleet.processes[owner].ask("use", 12.0, name="job", deadline=11.0))   # lies in its input
+    late = fleet.spawn(fleet.processes[owner].ask("use", 12.0, name="job", deadline=11.0))  # lies in its input
     began, second = fleet.history.now, {}
     while "token" not in second and fleet.history.now - began < 8.0:
         second = await fleet.processes[other].ask("acquire", 2.0, name="job", ttl=TTL, deadline=1.0)
@@ -165,8 +166,10 @@
     await late
     await playing
     uses = [one for one in fleet.history.events if one["event"] == "used"]
-    must([(one["who"], one["ok"]) for one in uses] == [(owner, True), (other, True), (owner, False)],
-         f"the resource let in: {uses}")
+    must(
+        [(one["who"], one["ok"]) for one in uses] == [(owner, True), (other, True), (owner, False)],
+        f"the resource let in: {uses}",
+    )
     return {"leader": owner == leader, "passed on s": round(took, 3)}
 
 
@@ -221,6 +224,7 @@
 
         def replaced(one: dict) -> bool:
             return one["event"] == "voters" and old not in one["voters"] and process.id in one["voters"]
+
         since, asked = len(fleet.history.events), fleet.history.now
         if old in await voters_of(fleet):
             must(await fleet.history.seen(replaced, 30.0, since), f"{process.id} does not decide in the place of {old}")
@@ -271,8 +275,16 @@
     """Bytes of no meaning on all ways, again and again, and connections reset."""
     await begun(fleet)
     ways = [(a, b) for a in fleet.zones for b in fleet.zones if a != b]
-    faults = [Fault(round(luck.uniform(0.0, 5.0), 3), schedule.RUBBISH, luck.choice(ways), 0.0,
-                    {"bytes": luck.randrange(1, 5000)}) for _ in range(150)]
+    faults = [
+        Fault(
+            round(luck.uniform(0.0, 5.0), 3),
+            schedule.RUBBISH,
+            luck.choice(ways),
+            0.0,
+            {"bytes": luck.randrange(1, 5000)},
+        )
+        for _ in range(150)
+    ]
     faults += [Fault(round(luck.uniform(0.0, 5.0), 3), schedule.RESET, luck.choice(ways)) for _ in range(15)]
     since = len(fleet.history.events)
     async with running(fleet.load(RATE)):
@@ -310,9 +322,24 @@
 
 
 Story = Callable[[Fleet, Random], Awaitable[dict]]
-STORIES: dict[str, Story] = {story.__name__.replace("_", "-"): story for story in (
-    calm, leader_killed, zone_cut, one_way, stopped, majority_lost, all_killed, folder_lost, doubt, terminated,
-    rubbish, disk_full, storm)}
+STORIES: dict[str, Story] = {
+    story.__name__.replace("_", "-"): story
+    for story in (
+        calm,
+        leader_killed,
+        zone_cut,
+        one_way,
+        stopped,
+        majority_lost,
+        all_killed,
+        folder_lost,
+        doubt,
+        terminated,
+        rubbish,
+        disk_full,
+        storm,
+    )
+}
 
 
 class Played(NamedTuple):
@@ -322,12 +349,12 @@
     found: list[str]
     figures: dict
     events: int
-    plan: list[str]   # the faults of a storm
+    plan: list[str]  # the faults of a storm
 
 
 async def _play(name: str, seed: int, size: int, history: History, told: dict | None, tree: str | None) -> Played:
     luck, figures, found, began = Random(f"{name} {seed}"), {}, [], time.monotonic()
-    for number in (signal.SIGINT, signal.SIGTERM):   # the folders are removed and all processes ended all the same
+    for number in (signal.SIGINT, signal.SIGTERM):  # the folders are removed and all processes ended all the same
         asyncio.get_running_loop().add_signal_handler(number, asyncio.current_task().cancel)
     try:
         roots = dict.fromkeys(list(zones_of(size))[1::2], tree) if tree else {}
@@ -343,14 +370,15 @@
             await fleet.final()
             ending = time.monotonic()
         figures["end s"] = round(time.monotonic() - ending, 3)
-    except Exception as wrong:   # also of the harness itself: the next seed is played all the same
+    except Exception as wrong:  # also of the harness itself: the next seed is played all the same
         found.append(f"{type(wrong).__name__}: {wrong}")
     plan = [one["text"] for one in history.events if one["event"] == "planned"]
     return Played(seed, found + judge(history.events, WITHIN), figures, len(history.events), plan)
 
 
-def play(name: str, seed: int, size: int, path: Path | None = None, told: dict | None = None,
-         tree: str | None = None) -> Played:
+def play(
+    name: str, seed: int, size: int, path: Path | None = None, told: dict | None = None, tree: str | None = None
+) -> Played:
     """One story with one seed, in an event loop of its own; its history goes to `path` as well.
 
     `told` goes into deploy/cluster.json; every second process runs the program in `tree`, where one is named. Raises
--- a/linkdock/lab/recorded.py
+++ b/linkdock/lab/recorded.py
@@ -40,14 +40,14 @@
         self.error = ""
 
     def handle(self, relay: Relay, now: float, events: list[i.Event]) -> list[i.Action]:
-        told = repr((now, events))   # before it, for the relay may keep them
+        told = repr((now, events))  # before it, for the relay may keep them
         try:
             actions = HANDLE(relay, now, events)
         except ArithmeticError as bad:
             self.error = repr(bad)
             raise
         if "recorded" not in vars(relay):
-            relay.recorded = [self.senders, 0]   # its number in the order of their first handles, and its handles
+            relay.recorded = [self.senders, 0]  # its number in the order of their first handles, and its handles
             self.senders += 1
         relay.recorded[1] += 1
         line = json.dumps([*relay.recorded, told, repr(actions)])
--- a/linkdock/lab/records.py
+++ b/linkdock/lab/records.py
@@ -41,8 +41,9 @@
     await agent.start()
     await stand_ins.start()
     agent.list(lambda: rows(plan.destinations, stand_ins.dial))
-    sender = rig.Sender(agent, deploy, {"memory_mb": 192, "sockets": 1024, "disk_mb": 50},
-                        rig.settings(256, 5000), root=root or None)
+    sender = rig.Sender(
+        agent, deploy, {"memory_mb": 192, "sockets": 1024, "disk_mb": 50}, rig.settings(256, 5000), root=root or None
+    )
     try:
         await sender.start()
         client = rig.Client(sender.port)
@@ -59,14 +60,18 @@
                 taken[0] += heard.startswith("+")
                 if not heard.startswith("+"):
                     await asyncio.sleep(0.01)
+
         cpu, began = sender.cpu(), time.monotonic()
         await asyncio.gather(*(hand_in(n + 1) for n in range(plan.clients)))
         took, used = time.monotonic() - began, sender.cpu() - cpu
         client.close()
         records = sum(p.stat().st_size for p in sender.path.glob("records*"))
         await sender.stop()
-        return {"a second": taken[0] / took, "cpu us": 1e6 * used / max(1, taken[0]),
-                "record bytes": records / max(1, taken[0])}
+        return {
+            "a second": taken[0] / took,
+            "cpu us": 1e6 * used / max(1, taken[0]),
+            "record bytes": records / max(1, taken[0]),
+        }
     finally:
         rig.strike(sender, agent, stand_ins)
 
@@ -82,7 +87,17 @@
         for way, (deploy, root) in ways.items():
             said(f"round {n + 1}, {way}")
             found[way].append(asyncio.run(_one(plan, deploy, root)))
-    return {"plan": msgspec.to_builtins(plan), "ways": {
-        way: {key: {"median": round(statistics.median(r[key] for r in runs), 1),
-                    "least": round(min(r[key] for r in runs), 1), "most": round(max(r[key] for r in runs), 1)}
-              for key in runs[0]} for way, runs in found.items()}}
+    return {
+        "plan": msgspec.to_builtins(plan),
+        "ways": {
+            way: {
+                key: {
+                    "median": round(statistics.median(r[key] for r in runs), 1),
+                    "least": round(min(r[key] for r in runs), 1),
+                    "most": round(max(r[key] for r in runs), 1),
+                }
+                for key in runs[0]
+            }
+            for way, runs in found.items()
+        },
+    }
--- a/linkdock/lab/registry.py
+++ b/linkdock/lab/registry.py
@@ -7,7 +7,7 @@
 
 from .. import interface as i
 
-MOST_BEHIND = 4.0   # seconds of asks that may be behind; what is turned away weighs as much as what is served
+MOST_BEHIND = 4.0  # seconds of asks that may be behind; what is turned away weighs as much as what is served
 
 
 class Registry:
--- a/linkdock/lab/results.py
+++ b/linkdock/lab/results.py
@@ -56,6 +56,7 @@
         yield lambda text: None
         return
     from rich.console import Console
+
     with Console(stderr=True).status("") as status:
         yield lambda text: status.update(text)
 
@@ -64,6 +65,7 @@
     """The runs of a real process, one row each, as Parquet."""
     import pyarrow as pa
     import pyarrow.parquet as pq
+
     runs = report.get("process", {}).get("runs", [])
     pq.write_table(pa.Table.from_pylist(runs) if runs else pa.table({"destinations": pa.array([], pa.int64())}), path)
 
@@ -71,15 +73,24 @@
 def write_plot(path: Path, report: dict) -> None:
     """What was served of each kind, with and without sleep, and the cost of a pass."""
     import matplotlib
+
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
+
     slept, never = report["waking"]["served"], report["waking"]["served by one that never slept"]
     kinds = sorted(slept)
     figure, (left, right) = plt.subplots(1, 2, figsize=(11, 4))
     for at, told, name in ((-0.2, slept, "asleep before"), (0.2, never, "never asleep")):
-        left.bar([n + at for n in range(len(kinds))], [told[k]["median"] for k in kinds], 0.4, label=name,
-                 yerr=[[told[k]["median"] - told[k]["least"] for k in kinds],
-                       [told[k]["most"] - told[k]["median"] for k in kinds]])
+        left.bar(
+            [n + at for n in range(len(kinds))],
+            [told[k]["median"] for k in kinds],
+            0.4,
+            label=name,
+            yerr=[
+                [told[k]["median"] - told[k]["least"] for k in kinds],
+                [told[k]["most"] - told[k]["median"] for k in kinds],
+            ],
+        )
     left.set_xticks(range(len(kinds)), kinds, rotation=20)
     left.set_ylabel("served in time")
     left.set_ylim(0, 1.05)
--- a/linkdock/lab/rig.py
+++ b/linkdock/lab/rig.py
@@ -25,17 +25,32 @@
 
 CLASSES = [
     {"name": "preview", "idempotency": "read_like", "aim": 0.8, "hard-limit": 6.0, "late-share": 0.1},
-    {"name": "order", "idempotency": "non_idempotent", "aim": 4.0, "hard-limit": 16.0, "importance": 2.0}]
+    {"name": "order", "idempotency": "non_idempotent", "aim": 4.0, "hard-limit": 16.0, "importance": 2.0},
+]
 
 
 def settings(slots: int, most_open: int) -> dict:
     """What the platform would tell a sender."""
     return {
-        "grades": CLASSES, "zones": ["a"], "machine-types": ["single"], "balancers": 1, "me": 0,
-        "limits": {"max-open": most_open, "max-attempts": 8, "connect-timeout": 1.5, "idle-close": 5.0,
-                   "cancel": True, "retry-after": True, "max-retry-after": 3.0, "second-copies": True},
-        "extra": {"calls-out": slots, "bundle-max": [1]}, "report": {"fields": ["x0", "x1"]},
-        "rules": {"drain-grace": 2.0, "fall-multiple": 1.5, "tip-after": 2.0, "cold-share": 0.35, "cold": 10.0}}
+        "grades": CLASSES,
+        "zones": ["a"],
+        "machine-types": ["single"],
+        "balancers": 1,
+        "me": 0,
+        "limits": {
+            "max-open": most_open,
+            "max-attempts": 8,
+            "connect-timeout": 1.5,
+            "idle-close": 5.0,
+            "cancel": True,
+            "retry-after": True,
+            "max-retry-after": 3.0,
+            "second-copies": True,
+        },
+        "extra": {"calls-out": slots, "bundle-max": [1]},
+        "report": {"fields": ["x0", "x1"]},
+        "rules": {"drain-grace": 2.0, "fall-multiple": 1.5, "tip-after": 2.0, "cold-share": 0.35, "cold": 10.0},
+    }
 
 
 class Peer(asyncio.Protocol):
@@ -55,7 +70,7 @@
             size = int(headers.get("content-length", 0))
             if len(self._data) < end + 4 + size:
                 return
-            body, self._data = self._data[end + 4:end + 4 + size], self._data[end + 4 + size:]
+            body, self._data = self._data[end + 4 : end + 4 + size], self._data[end + 4 + size :]
             self._taken(self, first, headers, body)
 
     def answer(self, status: int, body: bytes = b"", **headers: object) -> None:
@@ -131,7 +146,7 @@
 
     def __init__(self, members: dict[int, Member], idle_life: float | None = None) -> None:
         self.members, self.arrived, self._idle_life = members, {}, idle_life
-        self.came: Counter[str] = Counter()   # how often each message did, and how often it took effect
+        self.came: Counter[str] = Counter()  # how often each message did, and how often it took effect
         self.effects: Counter[str] = Counter()
         self._last: weakref.WeakKeyDictionary[Peer, float] = weakref.WeakKeyDictionary()
         self.dropped = 0
@@ -180,16 +195,22 @@
         self._port, self._host, self._free = port, host, []
 
     async def enqueue(self, name: str, cls: str, seconds: float, destination: int) -> str:
-        words = [b"ENQUEUE", b"0" * 16, name.encode(),
-                 f"c={cls},d={int(seconds * 1000)},dest={destination}".encode(), b"x" * 64]
+        words = [
+            b"ENQUEUE",
+            b"0" * 16,
+            name.encode(),
+            f"c={cls},d={int(seconds * 1000)},dest={destination}".encode(),
+            b"x" * 64,
+        ]
         data = b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
         writer = None
         try:
             if self._free:
                 reader, writer = self._free.pop()
             else:
-                reader, writer = await asyncio.wait_for(asyncio.open_connection(
-                    "127.0.0.1", self._port, local_addr=(self._host, 0)), 2.0)
+                reader, writer = await asyncio.wait_for(
+                    asyncio.open_connection("127.0.0.1", self._port, local_addr=(self._host, 0)), 2.0
+                )
             writer.write(data)
             heard = await asyncio.wait_for(reader.readline(), 2.0)
         except (TimeoutError, OSError):
@@ -210,8 +231,9 @@
 class Sender:
     """The real program as its own process, in a folder of its own."""
 
-    def __init__(self, agent: Agent, deploy: dict[str, dict], limits: dict, told: dict,
-                 root: str | None = None) -> None:
+    def __init__(
+        self, agent: Agent, deploy: dict[str, dict], limits: dict, told: dict, root: str | None = None
+    ) -> None:
         """`root` names another tree of the program than this one."""
         self._root = Path(root) if root else Path(__file__).parent.parent.parent
         self._folder = tempfile.TemporaryDirectory(prefix="linkdock-lab-")
@@ -220,8 +242,14 @@
         (self.path / "deploy").mkdir()
         for name, text in deploy.items():
             (self.path / "deploy" / f"{name}.json").write_text(json.dumps(text))
-        config = {"name": "n0", "listen": "127.0.0.1:0", "discovery": agent.dial, "seed": "1",
-                  "limits": limits, "settings": told}
+        config = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": agent.dial,
+            "seed": "1",
+            "limits": limits,
+            "settings": told,
+        }
         (self.path / "config.json").write_text(json.dumps(config))
 
     async def start(self, port: int = 0) -> None:
@@ -229,11 +257,16 @@
         if port:
             config = json.loads((self.path / "config.json").read_text())
             (self.path / "config.json").write_text(json.dumps({**config, "listen": f"127.0.0.1:{port}"}))
-        env = {**os.environ, "RELAY_CONFIG": str(self.path / "config.json"), "RELAY_STATE": str(self.path / "state"),
-               "LINKDOCK_DEPLOY": str(self.path / "deploy")}
+        env = {
+            **os.environ,
+            "RELAY_CONFIG": str(self.path / "config.json"),
+            "RELAY_STATE": str(self.path / "state"),
+            "LINKDOCK_DEPLOY": str(self.path / "deploy"),
+        }
         self.log = open(self.path / "log", "wb")
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "linkdock", env=env, stderr=self.log, cwd=self._root)
+            sys.executable, "-m", "linkdock", env=env, stderr=self.log, cwd=self._root
+        )
         self.port = int((await self.logged("listens on ")).rsplit(":", 1)[1])
 
     async def logged(self, text: str, patience: float = PATIENCE) -> str:
--- a/linkdock/lab/same_actions.py
+++ b/linkdock/lab/same_actions.py
@@ -27,18 +27,23 @@
 from types import CodeType
 
 ROOT = Path(__file__).resolve().parents[2]
-HARNESS = ("drawn.py", "recorded.py")   # given to BASE as well, which may have none
+HARNESS = ("drawn.py", "recorded.py")  # given to BASE as well, which may have none
 STORIES = ("return", "halved", "herd", "release", "zone", "lowered")
-LONGEST = 1800.0   # seconds that one child may take
-CHUNK = 5          # days of one child
-TRACED = 8         # days of each sort that are played once more, line by line
+LONGEST = 1800.0  # seconds that one child may take
+CHUNK = 5  # days of one child
+TRACED = 8  # days of each sort that are played once more, line by line
 
 
 def played(tree: Path, what: str, days: list[str]) -> list:
     """What a child prints. Raises CalledProcessError or TimeoutExpired; the child has said why."""
-    done = subprocess.run([sys.executable, "-m", "linkdock.lab.recorded", what, *days], cwd=tree, check=True,
-                          stdout=subprocess.PIPE, timeout=LONGEST,
-                          env={**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0"})
+    done = subprocess.run(
+        [sys.executable, "-m", "linkdock.lab.recorded", what, *days],
+        cwd=tree,
+        check=True,
+        stdout=subprocess.PIPE,
+        timeout=LONGEST,
+        env={**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0"},
+    )
     return [json.loads(line) for line in done.stdout.splitlines()]
 
 
@@ -48,8 +53,10 @@
         if old != new:
             (sender, handle, told, acts), (*_, told_new, acts_new) = old or [0, 0, "", ""], new or [0, 0, "", ""]
             what = "the same" if told == told_new else f"not the same, now\n  {told_new[:2000]}"
-            return (f"first difference: {day}, sender {sender}, its handle {handle}, with time and events\n"
-                    f"  {told[:2000]}\n  {what}\n- {acts}\n+ {acts_new}")
+            return (
+                f"first difference: {day}, sender {sender}, its handle {handle}, with time and events\n"
+                f"  {told[:2000]}\n  {what}\n- {acts}\n+ {acts_new}"
+            )
     return f"{day} differs between two plays of the same tree"
 
 
@@ -57,7 +64,7 @@
     """The lines of all functions in it, without those that only define them."""
     for part in code.co_consts:
         if isinstance(part, CodeType):
-            if part.co_flags & CO_OPTIMIZED:   # a function's, and not the body of a class
+            if part.co_flags & CO_OPTIMIZED:  # a function's, and not the body of a class
                 first = -1 if part.co_name.startswith("<") else part.co_firstlineno
                 yield from (line for _, _, line in part.co_lines() if line is not None and line != first)
             yield from code_lines(part)
@@ -65,24 +72,31 @@
 
 def not_run(ran: set[tuple[str, int]]) -> tuple[int, list[str]]:
     """How many lines the present decisions have inside functions, and those that did not run."""
-    every = [(path, line) for path in sorted((ROOT / "linkdock" / "decisions").glob("*.py"))
-             for line in sorted(set(code_lines(compile(path.read_text(), str(path), "exec"))))]
+    every = [
+        (path, line)
+        for path in sorted((ROOT / "linkdock" / "decisions").glob("*.py"))
+        for line in sorted(set(code_lines(compile(path.read_text(), str(path), "exec"))))
+    ]
     return len(every), [f"{path.name}:{line}" for path, line in every if (str(path), line) not in ran]
 
 
 def compared(trees: tuple[Path, Path], days: list[str], jobs: int, base: str) -> bool:
     """Plays and says it; whether nothing differed."""
-    chunks = [days[n:n + CHUNK] for n in range(0, len(days), CHUNK)]
+    chunks = [days[n : n + CHUNK] for n in range(0, len(days), CHUNK)]
     sample = [day for day in days if int(day.split(":")[1]) < TRACED]
     with ThreadPoolExecutor(jobs) as pool:
         olds, news = (pool.map(played, [tree] * len(chunks), ["days"] * len(chunks), chunks) for tree in trees)
         lines = list(pool.map(played, [ROOT] * jobs, ["lines"] * jobs, [sample[n::jobs] for n in range(jobs)]))
         pairs = [pair for old, new in zip(olds, news, strict=True) for pair in zip(old, new, strict=True)]
     differ = [old[0] for old, new in pairs if old != new]
-    drawn, handles, actions = (sum(of(old) for old, _ in pairs) for of in (
-        lambda old: old[0].startswith("drawn"), lambda old: old[1], lambda old: old[2]))
-    print(f"{base} against the present tree: {len(pairs) - drawn} days of the laboratories, {drawn} of drawn events, "
-          f"{handles} handles, {actions} actions: {len(differ)} days differ")
+    drawn, handles, actions = (
+        sum(of(old) for old, _ in pairs)
+        for of in (lambda old: old[0].startswith("drawn"), lambda old: old[1], lambda old: old[2])
+    )
+    print(
+        f"{base} against the present tree: {len(pairs) - drawn} days of the laboratories, {drawn} of drawn events, "
+        f"{handles} handles, {actions} actions: {len(differ)} days differ"
+    )
     for day, error in [(old[0], old[4]) for old, new in pairs if old[4] and old == new]:
         print(f"{day} ended early in both, by {error}")
     total, missed = not_run({(name, line) for some in lines for name, line in some})
@@ -104,7 +118,7 @@
     with tempfile.TemporaryDirectory() as folder:
         archive = subprocess.run(["git", "-C", str(ROOT), "archive", told.base, "linkdock"], stdout=subprocess.PIPE)
         if archive.returncode:
-            return 2   # git has said why
+            return 2  # git has said why
         with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tree:
             tree.extractall(folder, filter="data")
         for name in HARNESS:
--- a/linkdock/lab/soak.py
+++ b/linkdock/lab/soak.py
@@ -21,7 +21,7 @@
 from .rig import Agent, Client, Members, Sender, settings, strike
 
 SAMPLE_S = 1.0
-MEMORY_GROWTH, DESCRIPTOR_GROWTH = 1.1, 1.25   # the last fifth against the second: beyond it is not flat
+MEMORY_GROWTH, DESCRIPTOR_GROWTH = 1.1, 1.25  # the last fifth against the second: beyond it is not flat
 
 
 class Plan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
@@ -29,8 +29,8 @@
 
     seconds: Annotated[float, msgspec.Meta(ge=10, le=86400)] = 1800.0
     members: Annotated[int, msgspec.Meta(ge=1, le=2000)] = 40
-    rate: Annotated[float, msgspec.Meta(gt=0, le=5000)] = 60.0     # messages a second, in the mean
-    surge: Annotated[float, msgspec.Meta(ge=1, le=100)] = 5.0      # times that, for one second in twenty
+    rate: Annotated[float, msgspec.Meta(gt=0, le=5000)] = 60.0  # messages a second, in the mean
+    surge: Annotated[float, msgspec.Meta(ge=1, le=100)] = 5.0  # times that, for one second in twenty
     idle_life: Annotated[float, msgspec.Meta(gt=0)] = 1.0
     resets: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.02
     slots: Positive = 64
@@ -44,21 +44,43 @@
 def flat(samples: list[float], most: float) -> tuple[bool, float]:
     """Whether the last fifth is no more than so many times the second, and the ratio of their medians."""
     part = max(1, len(samples) // 5)
-    early, late = statistics.median(samples[part:2 * part]), statistics.median(samples[-part:])
+    early, late = statistics.median(samples[part : 2 * part]), statistics.median(samples[-part:])
     ratio = late / early if early else 1.0
     return ratio <= most, round(ratio, 3)
 
 
 async def measure(plan: Plan, said: Callable[[str], None]) -> dict:
     luck, agent = Random(plan.seed), Agent()
-    members = Members({n: Member(n, Rules(), Random(plan.seed * 1000 + n), rate=200.0, service=0.05,
-                                 resets=plan.resets) for n in range(plan.members)}, plan.idle_life)
+    members = Members(
+        {
+            n: Member(n, Rules(), Random(plan.seed * 1000 + n), rate=200.0, service=0.05, resets=plan.resets)
+            for n in range(plan.members)
+        },
+        plan.idle_life,
+    )
     await agent.start()
     await members.start()
-    agent.list(lambda: ({"host": f"m{n}", "dial": members.dial, "site": "a", "class": "single", "block": n,
-                         "health": "ready", "share": 1.0, "born_ms": 0} for n in range(plan.members)))
-    sender = Sender(agent, {"connections": {"on": plan.keeper, "file": "connections.json"}},
-                    {"memory_mb": 128, "sockets": 512, "disk_mb": 3}, settings(plan.slots, 400))
+    agent.list(
+        lambda: (
+            {
+                "host": f"m{n}",
+                "dial": members.dial,
+                "site": "a",
+                "class": "single",
+                "block": n,
+                "health": "ready",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+            for n in range(plan.members)
+        )
+    )
+    sender = Sender(
+        agent,
+        {"connections": {"on": plan.keeper, "file": "connections.json"}},
+        {"memory_mb": 128, "sockets": 512, "disk_mb": 3},
+        settings(plan.slots, 400),
+    )
     memory, descriptors, heard = [], [], {"+OK": 0, "-BUSY": 0, "other": 0}
     try:
         await sender.start()
@@ -69,6 +91,7 @@
             member = luck.randrange(plan.members)
             said = await client.enqueue(f"{member:08x}{number:08x}", luck.choice(["preview", "order"]), 6.0, member)
             heard["+OK" if said.startswith("+OK") else "-BUSY" if said.startswith("-BUSY") else "other"] += 1
+
         number, next_sample = 0, began
         while (now := time.monotonic()) - began < plan.seconds:
             if now >= next_sample:
@@ -89,12 +112,28 @@
         strike(sender, agent, members)
     steady, grown = flat(memory, MEMORY_GROWTH)
     held, more = flat(descriptors, DESCRIPTOR_GROWTH)
-    return {"messages": number, "heard": heard, "arrived": len(members.arrived), "dropped idle": members.dropped,
-            "memory mb": {"first": round(memory[0], 1), "last": round(memory[-1], 1), "most": round(max(memory), 1),
-                          "late over early": grown, "flat": steady},
-            "descriptors": {"first": descriptors[0], "last": descriptors[-1], "most": max(descriptors),
-                            "late over early": more, "flat": held},
-            "longest hold": hold[-1].rsplit(": ", 1)[1] if hold else "", "flat": steady and held}
+    return {
+        "messages": number,
+        "heard": heard,
+        "arrived": len(members.arrived),
+        "dropped idle": members.dropped,
+        "memory mb": {
+            "first": round(memory[0], 1),
+            "last": round(memory[-1], 1),
+            "most": round(max(memory), 1),
+            "late over early": grown,
+            "flat": steady,
+        },
+        "descriptors": {
+            "first": descriptors[0],
+            "last": descriptors[-1],
+            "most": max(descriptors),
+            "late over early": more,
+            "flat": held,
+        },
+        "longest hold": hold[-1].rsplit(": ", 1)[1] if hold else "",
+        "flat": steady and held,
+    }
 
 
 def run(plan: Plan, said: Callable[[str], None] = lambda text: None) -> dict:
--- a/linkdock/lab/virtual.py
+++ b/linkdock/lab/virtual.py
@@ -15,8 +15,8 @@
 from ..decisions import Relay
 from . import members as m
 
-TRIP = 0.01          # seconds to a member and back
-HANDSHAKE = 0.075    # seconds that a new connection takes, some three trips between zones
+TRIP = 0.01  # seconds to a member and back
+HANDSHAKE = 0.075  # seconds that a new connection takes, some three trips between zones
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     late: int = 0
     refused: int = 0
     failed: int = 0
-    waits: list[float] = field(default_factory=list)   # from the request to its delivery
+    waits: list[float] = field(default_factory=list)  # from the request to its delivery
 
     def share(self) -> float:
         return self.served / self.asked if self.asked else 1.0
@@ -49,7 +49,7 @@
 
     def __init__(self, idle_for: float) -> None:
         self._idle_for = idle_for
-        self._idle: dict[str, list[tuple[float, m.Member]]] = {}   # until when each stays, the freshest last
+        self._idle: dict[str, list[tuple[float, m.Member]]] = {}  # until when each stays, the freshest last
 
     def take(self, host: str) -> bool:
         """Whether an idle one is there; it is in use then."""
@@ -91,12 +91,18 @@
 class World:
     """One relay, its members and its clock. `host_of` names the members that a host belongs to."""
 
-    def __init__(self, settings: i.Settings, seed: int, sleeper: i.Sleeper | None,
-                 members: dict[int, m.Member], member_of: Callable[[str], int]) -> None:
-        self.lines: Lines | None = None                                   # where connections are counted
-        self.alive: Callable[[str], bool] = lambda host: True             # whether a process runs there
+    def __init__(
+        self,
+        settings: i.Settings,
+        seed: int,
+        sleeper: i.Sleeper | None,
+        members: dict[int, m.Member],
+        member_of: Callable[[str], int],
+    ) -> None:
+        self.lines: Lines | None = None  # where connections are counted
+        self.alive: Callable[[str], bool] = lambda host: True  # whether a process runs there
         self.count: Callable[[float, int, str], None] = lambda now, destination, what: None
-        self.marked: Callable[[float, i.Log], None] = lambda now, line: None   # what the decisions say of a host
+        self.marked: Callable[[float, i.Log], None] = lambda now, line: None  # what the decisions say of a host
         self.relay = Relay(settings, seed, sleeper)
         self.settings, self.members, self.member_of = settings, members, member_of
         self.now, self.random = 0.0, Random(seed)
@@ -105,7 +111,7 @@
         self._batch: list[i.Event] = []
         self._open: dict[int, _Open] = {}
         self._out: dict[tuple[int, int], tuple[str, float]] = {}
-        self._saw: dict[int, int] = {}   # the last outage of each member that a call met
+        self._saw: dict[int, int] = {}  # the last outage of each member that a call met
         self._attempts: Counter[int] = Counter()
         self._bell: tuple[float, int] | None = None
         self.tallies: dict[str, Tally] = {}
@@ -208,8 +214,9 @@
             result = i.Result.OK if reply.how == m.OK else i.Result.FULL
             self.at(self.now + after, lambda: self._outcome(number, attempt, result, reply.wait, report))
 
-    def _outcome(self, number: int, attempt: int, result: i.Result, wait: float = 0.0,
-                 report: i.Report | None = None) -> None:
+    def _outcome(
+        self, number: int, attempt: int, result: i.Result, wait: float = 0.0, report: i.Report | None = None
+    ) -> None:
         known = self._out.pop((number, attempt), None)
         if known is None:
             return
@@ -225,8 +232,9 @@
                 member.lines -= 1
         if result is i.Result.OK:
             self._end(number, "served")
-        self._batch.append(i.Outcome(number, attempt, host, result, self.now - sent, result is i.Result.OK, wait,
-                                     report))
+        self._batch.append(
+            i.Outcome(number, attempt, host, result, self.now - sent, result is i.Result.OK, wait, report)
+        )
 
     def _end(self, number: int, how: str) -> None:
         known = self._open.pop(number, None)
@@ -257,5 +265,13 @@
             if number in doubtful and self.settings.classes[told.cls].effect is i.Effect.UNSAFE:
                 self._end(number, "failed")
             else:
-                self._batch.append(i.Message(number, told.cls, told.destination, told.deadline - self.now,
-                                             orphaned=True, attempts=self._attempts[number]))
+                self._batch.append(
+                    i.Message(
+                        number,
+                        told.cls,
+                        told.destination,
+                        told.deadline - self.now,
+                        orphaned=True,
+                        attempts=self._attempts[number],
+                    )
+                )
--- a/linkdock/lab/virtual_failover.py
+++ b/linkdock/lab/virtual_failover.py
@@ -26,10 +26,10 @@
 
 REGIONS = {0: 0, 1: 0, 2: 1}
 PROCESSES, DESTINATIONS, ZONES, VOTERS = 20, 4, 3, 5
-TRIP = {0: 0.01, 1: 0.02, 3: 0.08}    # seconds there and back, by the flow's cost
-RETRY, CONNECT = 0.3, 0.5             # after a failure; until a connection is given up
+TRIP = {0: 0.01, 1: 0.02, 3: 0.08}  # seconds there and back, by the flow's cost
+RETRY, CONNECT = 0.3, 0.5  # after a failure; until a connection is given up
 NEAREST = [sorted(range(ZONES), key=lambda z, a=a: (judge.flow.cost_of(a, z, REGIONS), z)) for a in range(ZONES)]
-MEMBERS_LAG = 1.5                     # seconds after which the membership knows who is gone
+MEMBERS_LAG = 1.5  # seconds after which the membership knows who is gone
 ELECTION = 1.0
 POLICIES = ("ours", "near", "even", "alone", "truth")
 
@@ -41,7 +41,7 @@
         self.waiting: deque[Message] = deque()
         self.gates: dict[tuple[int, int], Gate] = defaultdict(Gate)
         self.decision, self.slots = Decision(), {}
-        self.inbox: dict[str, Known] = {}            # a voter's
+        self.inbox: dict[str, Known] = {}  # a voter's
         self.spenders: dict[tuple[int, int], list[returning.Spender]] = defaultdict(list)
         self.far: dict[tuple[int, int], shares.Pace] = defaultdict(shares.Pace)
         self.paces, self.paused_until = {}, 0.0
@@ -65,9 +65,9 @@
         self.in_zone = Counter(p.zone for p in self.processes)
         self.demand = {(d, z): fleet.uniform(12, 24) for d in range(DESTINATIONS) for z in range(ZONES)}
         self.backends = {key: Backend(rate * fleet.uniform(*story.room)) for key, rate in self.demand.items()}
-        self.cut: dict[frozenset[int], float] = {}       # pairs of zones that do not reach one another, and since when
-        self.control_cut: dict[frozenset[int], float] = {}   # the same for reports and decisions alone
-        self.alone: dict[int, float] = {}                # processes all of whose calls fail, and since when
+        self.cut: dict[frozenset[int], float] = {}  # pairs of zones that do not reach one another, and since when
+        self.control_cut: dict[frozenset[int], float] = {}  # the same for reports and decisions alone
+        self.alone: dict[int, float] = {}  # processes all of whose calls fail, and since when
         self.loss, self.slow, self.pauses = 0.0, {}, 0.0
         self.leader, self.leads_at, self.last = self.processes[0], 0.0, Decision()
         self.published, self.ledgers = Decision(), {}
@@ -87,8 +87,9 @@
     def members(self, p: Process) -> float:
         if self.alone.get(p.number, self.now) < self.now - MEMBERS_LAG:
             return 0.0
-        gone = {pair for side in (self.cut, self.control_cut) for pair, at in side.items()
-                if at < self.now - MEMBERS_LAG}
+        gone = {
+            pair for side in (self.cut, self.control_cut) for pair, at in side.items() if at < self.now - MEMBERS_LAG
+        }
         return sum(frozenset((p.zone, q.zone)) not in gone for q in self.processes) / PROCESSES
 
     def trip(self, a: int, b: int) -> float:
@@ -185,7 +186,7 @@
         m.tried += 1
         trip = self.trip(p.zone, key[1])
         if self.loss and self.chance.random() < self.loss:
-            trip += 0.2   # TCP sends again
+            trip += 0.2  # TCP sends again
         backend = self.backends[key]
         if not self.reaches(p, key[1]):
             self.at(self.now + CONNECT, self.ended, p, m, key, observe.BAD)
@@ -222,8 +223,14 @@
         for key in cells:
             good = self.reaches(p, key[1]) and self.backends[key].up and self.chance.random() >= self.loss
             after = self.trip(p.zone, key[1]) if self.reaches(p, key[1]) else CONNECT
-            self.at(self.now + after, p.sight.ended, self.now + after, *key, observe.GOOD if good else observe.BAD,
-                    self.backends[key].rate if good else 0.0)
+            self.at(
+                self.now + after,
+                p.sight.ended,
+                self.now + after,
+                *key,
+                observe.GOOD if good else observe.BAD,
+                self.backends[key].rate if good else 0.0,
+            )
 
     def heard(self, q: Process, report: observe.Report) -> None:
         q.inbox[report.observer] = Known(self.now, observe.decode(observe.encode(report)))
@@ -235,6 +242,7 @@
             pairs = [frozenset((q.zone, v.zone)) for v in voters if v is not q]
             there = sum(pair not in self.cut and pair not in self.control_cut for pair in pairs)
             return q.paused_until <= self.now and 2 * (there + 1) > VOTERS
+
         if self.leader is None or not leads(self.leader):
             if self.leader is not None:
                 self.leader, self.leads_at = None, self.now + ELECTION
@@ -242,7 +250,7 @@
             if self.now < self.leads_at or not able:
                 return
             self.leader, self.last = able[0], judge.rebased(self.published, self.now)
-            self.ledgers.clear()   # Danger: leases of the one before still run; the new one waits out a term
+            self.ledgers.clear()  # Danger: leases of the one before still run; the new one waits out a term
             self.leads_at = self.now
         known = list(self.leader.inbox.values())
         self.last = judge.judge(self.last, known, self.now, REGIONS, RULES)
@@ -271,8 +279,12 @@
                     slots = p.slots.get((s.destination, p.zone))
                     if not judge.needs_lease(self.last, *key, p.zone):
                         continue
-                    wants[p.name] = float(sum(m.destination == s.destination and (slots[m.slot] if slots else p.zone)
-                                              == s.zone for m in p.waiting))
+                    wants[p.name] = float(
+                        sum(
+                            m.destination == s.destination and (slots[m.slot] if slots else p.zone) == s.zone
+                            for m in p.waiting
+                        )
+                    )
             old = self.ledgers.get(key, returning.Ledger())
             allowed = judge.lease_room(s, view, self.now, RULES)
             self.ledgers[key] = new = returning.share_out(old, self.now, wants, allowed, RULES)
@@ -285,12 +297,15 @@
         nan, falls = float("nan"), self.story.begins
         times = [self.decided.get(key, nan) - falls for key in self.story.falls]
         times += [self.decided.get(key, nan) - falls - 8.0 for key in self.story.later]
-        return {"service": self.served / max(1, self.asked), "near": self.near / max(1, self.all_served),
-                "decided": nan if not times or any(t != t for t in times) else max(times),
-                "passed": sum(b.passed for b in self.backends.values()),
-                "shifts": max(self.moves.values(), default=0),
-                "false": sum(n for key, n in self.moves.items() if key not in self.story.falls_ever),
-                "toppled": sum(b.toppled for b in self.backends.values())}
+        return {
+            "service": self.served / max(1, self.asked),
+            "near": self.near / max(1, self.all_served),
+            "decided": nan if not times or any(t != t for t in times) else max(times),
+            "passed": sum(b.passed for b in self.backends.values()),
+            "shifts": max(self.moves.values(), default=0),
+            "false": sum(n for key, n in self.moves.items() if key not in self.story.falls_ever),
+            "toppled": sum(b.toppled for b in self.backends.values()),
+        }
 
 
 def run(story: str, seed: int) -> dict[str, dict[str, float]]:
@@ -304,18 +319,23 @@
         if not known:
             return "none"
         return f"{median(known):.2f} ({known[0]:.2f}-{known[-1]:.2f})"
+
     ours = [r["ours"] for r in runs]
     ratio = told([r["ours"]["service"] / max(1e-9, r["truth"]["service"]) for r in runs])
     service = " | ".join(told([r[p]["service"] for r in runs]) for p in POLICIES)
     passed = " / ".join(f"{max(r[p]['passed'] for r in runs):.1f}" for p in POLICIES)
     toppled = " / ".join(f"{max(r[p]['toppled'] for r in runs)}" for p in POLICIES)
-    return (f"| {story} | {told([o['decided'] for o in ours])} | {service} | {ratio} | {passed} | {toppled} | "
-            f"{max(o['shifts'] for o in ours)} | "
-            f"{sum(o['false'] for o in ours)} | {told([o['near'] for o in ours])} |")
+    return (
+        f"| {story} | {told([o['decided'] for o in ours])} | {service} | {ratio} | {passed} | {toppled} | "
+        f"{max(o['shifts'] for o in ours)} | "
+        f"{sum(o['false'] for o in ours)} | {told([o['near'] for o in ours])} |"
+    )
 
 
-HEAD = ("| story | decided, s | ours | near | even | alone | truth | ours / truth | s passed, most (same order) | "
-        "toppled, most | shifts | false | near share |\n" + "| --- " * 13 + "|")
+HEAD = (
+    "| story | decided, s | ours | near | even | alone | truth | ours / truth | s passed, most (same order) | "
+    "toppled, most | shifts | false | near share |\n" + "| --- " * 13 + "|"
+)
 
 
 def main() -> None:
--- a/linkdock/lab/virtual_log.py
+++ b/linkdock/lab/virtual_log.py
@@ -16,11 +16,30 @@
 from .virtual_log_node import Node
 from .virtual_log_world import SMALL, World
 
-DEFAULT = LogSettings(heartbeat=0.15, election=1.0, span=1.0)   # a process's
-FAULTY, WITHIN = 5.0, 2.0   # seconds of faults; then a leader is there and a proposal answered within
-
-KINDS = ("crash", "crash", "crash_leader", "crash_leader", "pause", "pause_leader", "cut_one", "cut_one", "cut_leader",
-         "halves", "reset", "lossy", "lossy", "hand_over", "hand_over_cut", "lose_folder", "more", "less", "power")
+DEFAULT = LogSettings(heartbeat=0.15, election=1.0, span=1.0)  # a process's
+FAULTY, WITHIN = 5.0, 2.0  # seconds of faults; then a leader is there and a proposal answered within
+
+KINDS = (
+    "crash",
+    "crash",
+    "crash_leader",
+    "crash_leader",
+    "pause",
+    "pause_leader",
+    "cut_one",
+    "cut_one",
+    "cut_leader",
+    "halves",
+    "reset",
+    "lossy",
+    "lossy",
+    "hand_over",
+    "hand_over_cut",
+    "lose_folder",
+    "more",
+    "less",
+    "power",
+)
 
 
 @dataclass
@@ -102,7 +121,7 @@
     def partial(self, crash: bool = False) -> None:
         """One follower loses the leader and keeps the others; when it has had time to stand, the leader loses all."""
         leader, at = self._leader(), self.world.settings.election
-        self.rest = 4 * at    # or others' faults would end it
+        self.rest = 4 * at  # or others' faults would end it
         others = [n for n in self.world.nodes if n != leader.id]
         one = self.random.choice(others)
         self._cut({(leader.id, one), (one, leader.id)}, 3 * at)
@@ -196,8 +215,14 @@
                 node.wake()
 
 
-def play(seed: int, nodes: int = 5, settings: LogSettings = SMALL, kinds: tuple[str, ...] = KINDS,
-         pace: float = 0.03, faulty: float = FAULTY) -> Played:
+def play(
+    seed: int,
+    nodes: int = 5,
+    settings: LogSettings = SMALL,
+    kinds: tuple[str, ...] = KINDS,
+    pace: float = 0.03,
+    faulty: float = FAULTY,
+) -> Played:
     """One schedule; `pace` is the mean rest of a client (s). Raises Broken, or whatever a log raises that must not."""
     world = World(seed, nodes, settings, pace=pace)
     faults = Faults(world, faulty, kinds)
@@ -214,8 +239,14 @@
     _settled(world)
     writes = list(world.writes.values())
     world.checks.history(writes, world.reads)
-    return Played(len(world.checks.chosen), len(world.reads), sum(w[4] is not None for w in writes), end - faulty,
-                  faults.restarts, faults.changes)
+    return Played(
+        len(world.checks.chosen),
+        len(world.reads),
+        sum(w[4] is not None for w in writes),
+        end - faulty,
+        faults.restarts,
+        faults.changes,
+    )
 
 
 def _settled(world: World) -> None:
@@ -261,20 +292,29 @@
     for seed in range(args.seed, args.seed + args.seeds):
         try:
             played.append(kill(seed, args.nodes, args.slow) if args.kills else play(seed, args.nodes))
-        except Exception as error:   # every failure of a schedule is one line that plays it again
+        except Exception as error:  # every failure of a schedule is one line that plays it again
             failed += 1
             more = " --kills" * args.kills + " --slow" * args.slow
-            print(f"python -m linkdock.lab.virtual_log --seed {seed} --nodes {args.nodes}{more}  # "
-                  f"{type(error).__name__}: {error}", flush=True)
+            print(
+                f"python -m linkdock.lab.virtual_log --seed {seed} --nodes {args.nodes}{more}  # "
+                f"{type(error).__name__}: {error}",
+                flush=True,
+            )
     took = time.monotonic() - begun
     print(f"{len(played)} schedules of {args.nodes} held, {failed} failed, {took:.1f} s")
     if played:
         times = sorted(played if args.kills else [p.healed for p in played])
-        print(f"{'next leader' if args.kills else 'answer after faults'}: median {times[len(times) // 2]:.2f} s, "
-              f"p99 {times[int(len(times) * 0.99)]:.2f} s, longest {times[-1]:.2f} s")
+        print(
+            f"{'next leader' if args.kills else 'answer after faults'}: median {times[len(times) // 2]:.2f} s, "
+            f"p99 {times[int(len(times) * 0.99)]:.2f} s, longest {times[-1]:.2f} s"
+        )
     if played and not args.kills:
-        print(", ".join(f"{sum(getattr(p, what) for p in played)} {what}"
-                        for what in ("committed", "writes", "reads", "restarts", "changes")))
+        print(
+            ", ".join(
+                f"{sum(getattr(p, what) for p in played)} {what}"
+                for what in ("committed", "writes", "reads", "restarts", "changes")
+            )
+        )
     return 1 if failed else 0
 
 
--- a/linkdock/lab/virtual_log_bugs.py
+++ b/linkdock/lab/virtual_log_bugs.py
@@ -27,8 +27,8 @@
 from .virtual_log_search import PLANS, Search
 from .virtual_log_world import SMALL
 
-STATES = 20_000   # of a search, at most
-SHARP = replace(SMALL, span=0.04)   # the next leader comes as early as it may: what is wrong with a lease shows
+STATES = 20_000  # of a search, at most
+SHARP = replace(SMALL, span=0.04)  # the next leader comes as early as it may: what is wrong with a lease shows
 
 
 @dataclass(frozen=True)
@@ -43,12 +43,13 @@
     kinds: tuple[str, ...] = KINDS
     settings: LogSettings = SMALL
     pace: float = 0.03
-    plan: str = ""   # found by this search, not by schedules
+    plan: str = ""  # found by this search, not by schedules
 
 
 def _forget_vote(init):
     def started(self, me, stored, *rest):
         init(self, me, i.Stored(i.Vote(stored.vote.term), stored.image, stored.entries), *rest)
+
     return started
 
 
@@ -86,6 +87,7 @@
         if self._lead:
             self._lead.now = now
         step(self, now, sender, message)
+
     return stepped
 
 
@@ -94,6 +96,7 @@
         if not self._lead and self.me in self.config.voters:
             self.term, self.voted = self.term + 1, ""
         fire(self, now)
+
     return fired
 
 
@@ -126,7 +129,7 @@
 
 
 def _no_match(self, sender, message):
-    entries = message.entries[max(0, self.commit - message.prev_index):]
+    entries = message.entries[max(0, self.commit - message.prev_index) :]
     if message.prev_index > self.log.last:
         self._send(sender, i.Appended(self.term, False, self.log.last, message.round))
         return
@@ -141,6 +144,7 @@
         if self.role == Role.FOLLOWER and message.term == self.term:
             self.voted = ""
         on_ask(self, now, sender, message)
+
     return asked
 
 
@@ -154,6 +158,7 @@
         to, said = self._messages[-1]
         if said.ok:
             self._messages[-1] = (to, i.Appended(said.term, True, self.log.last, said.round))
+
     return appended
 
 
@@ -162,6 +167,7 @@
         on_append(self, sender, message)
         if self._messages[-1][1].ok:
             self.commit = max(self.commit, min(message.commit, self.log.last))
+
     return appended
 
 
@@ -169,11 +175,12 @@
     def started(self, *rest):
         init(self, *rest)
         self._refuse_until = 0.0
+
     return started
 
 
 def _kept_config(self, index):
-    del self.held[index - self.base - 1:]
+    del self.held[index - self.base - 1 :]
 
 
 def _same_id(start):
@@ -181,6 +188,7 @@
         if self.disk.vote.term and self.random.random() < 0.3:
             self.disk.__init__(i.Stored(image=self.world.first))
         start(self)
+
     return started
 
 
@@ -203,6 +211,7 @@
 def _match_beyond(answered):
     def taken(self, message, last):
         answered(self, replace_ok(message), last)
+
     return taken
 
 
@@ -211,58 +220,146 @@
 
 
 BUGS: dict[str, Bug] = {
-    "vote-forgotten": Bug("a vote is forgotten by a restart", "one-vote",
-        ((Core, "__init__", _forget_vote),), plan="rivals"),
+    "vote-forgotten": Bug(
+        "a vote is forgotten by a restart", "one-vote", ((Core, "__init__", _forget_vote),), plan="rivals"
+    ),
     "second-vote": Bug("a second vote in one term", "one-vote", ((Core, "_on_ask", _votes_twice),), plan="rivals"),
     "any-log": Bug("a vote for a log that is behind", "leader-complete", ((Core, "_would_vote", _any_log),)),
-    "old-term": Bug("entries of earlier terms committed by counting", "leader-complete", (
-        (Leading, "counted", _counted_old),), plan="figure-8"),
+    "old-term": Bug(
+        "entries of earlier terms committed by counting",
+        "leader-complete",
+        ((Leading, "counted", _counted_old),),
+        plan="figure-8",
+    ),
     "sent-first": Bug("messages sent before the sync", "disk-first", ((Node, "begun", _sent_first),)),
-    "learner-counted": Bug("a learner counts for the commit", "on-a-majority",
-        ((Leading, "counted", _counted_learners),)),
-    "gone-counted": Bug("a leader that is no voter counts itself", "on-a-majority",
-        ((Leading, "counted", _counted_gone),), 5, 40,
-        ("remove_leader", "more", "cut_leader", "halves", "lossy")),
-    "lease-at-answer": Bug("a lease counted from the answer", "reads", (
-        (Leading, "heard", _heard_at_answer), (Core, "step", _step_with_time)), 3, 100,
-        ("lossy", "far", "cut_leader", "cut_leader", "pause_leader"), SHARP),
-    "lease-undrifted": Bug("a lease as long as the election time-out, drift not counted", "reads", (
-        (Leading, "leased", _long_lease),), 3, 100, ("cut_leader",), replace(SHARP, drift=0.2)),
-    "lease-handed-over": Bug("a lease believed after hand-over", "reads", ((Leading, "leased", _leased_though_over),),
-        3, 100, ("hand_over_cut",), SHARP),
+    "learner-counted": Bug(
+        "a learner counts for the commit", "on-a-majority", ((Leading, "counted", _counted_learners),)
+    ),
+    "gone-counted": Bug(
+        "a leader that is no voter counts itself",
+        "on-a-majority",
+        ((Leading, "counted", _counted_gone),),
+        5,
+        40,
+        ("remove_leader", "more", "cut_leader", "halves", "lossy"),
+    ),
+    "lease-at-answer": Bug(
+        "a lease counted from the answer",
+        "reads",
+        ((Leading, "heard", _heard_at_answer), (Core, "step", _step_with_time)),
+        3,
+        100,
+        ("lossy", "far", "cut_leader", "cut_leader", "pause_leader"),
+        SHARP,
+    ),
+    "lease-undrifted": Bug(
+        "a lease as long as the election time-out, drift not counted",
+        "reads",
+        ((Leading, "leased", _long_lease),),
+        3,
+        100,
+        ("cut_leader",),
+        replace(SHARP, drift=0.2),
+    ),
+    "lease-handed-over": Bug(
+        "a lease believed after hand-over",
+        "reads",
+        ((Leading, "leased", _leased_though_over),),
+        3,
+        100,
+        ("hand_over_cut",),
+        SHARP,
+    ),
     "read-early": Bug("a read before an own entry is committed", "reads", ((Core, "may_read", _own_term_unseen),)),
-    "willing-at-start": Bug("a restarted voter votes at once", "reads", ((Core, "__init__", _started_willing),),
-        3, 100, ("partial_crash",), SHARP, 1.5),
-    "bound-to-none": Bug("a voter that hears a leader votes for another", "reads", ((Core, "_bound", _bound_to_none),),
-        3, 100, ("partial",), SHARP, 1.5),
+    "willing-at-start": Bug(
+        "a restarted voter votes at once",
+        "reads",
+        ((Core, "__init__", _started_willing),),
+        3,
+        100,
+        ("partial_crash",),
+        SHARP,
+        1.5,
+    ),
+    "bound-to-none": Bug(
+        "a voter that hears a leader votes for another",
+        "reads",
+        ((Core, "_bound", _bound_to_none),),
+        3,
+        100,
+        ("partial",),
+        SHARP,
+        1.5,
+    ),
     "prevote-raises": Bug("a pre-vote raises the term", "term-by-candidate", ((Core, "fire", _prevote_raises),)),
     "deaf-leader": Bug("check-quorum left out", "check-quorum", ((Leading, "deaf", lambda self, now, log: False),)),
     "cut-always": Bug("an old Append cuts without a conflict", "on-a-majority", ((Core, "_take", _take_cuts_always),)),
     "old-image": Bug("an image older than the commit is taken", "commit-goes-on", ((Core, "_on_install", _any_image),)),
     "change-open": Bug("a change while one is open", "one-change", ((Core, "change", _change_at_once),), 5, 100),
-    "config-kept": Bug("a change that was cut stays in force", "config-of-log",
-        ((Entries, "cut", _kept_config),), 5, 40,
-        ("more", "less", "cut_leader", "crash_leader")),
-    "no-match": Bug("an Append taken without the entry before it", "log-matching",
-        ((Core, "_on_append", _no_match),), 5, 40,
-        ("halves", "cut_leader", "lossy")),
-    "own-last": Bug("a follower answers with its own last entry", "true-answers",
-        ((Core, "_on_append", _own_last),), 5, 100,
-        ("halves", "cut_leader", "crash_leader")),
-    "commit-own-last": Bug("a follower commits beyond what matched", "same-state",
-        ((Core, "_on_append", _commit_own_last),), 5, 100,
-        ("halves", "cut_leader", "crash_leader")),
+    "config-kept": Bug(
+        "a change that was cut stays in force",
+        "config-of-log",
+        ((Entries, "cut", _kept_config),),
+        5,
+        40,
+        ("more", "less", "cut_leader", "crash_leader"),
+    ),
+    "no-match": Bug(
+        "an Append taken without the entry before it",
+        "log-matching",
+        ((Core, "_on_append", _no_match),),
+        5,
+        40,
+        ("halves", "cut_leader", "lossy"),
+    ),
+    "own-last": Bug(
+        "a follower answers with its own last entry",
+        "true-answers",
+        ((Core, "_on_append", _own_last),),
+        5,
+        100,
+        ("halves", "cut_leader", "crash_leader"),
+    ),
+    "commit-own-last": Bug(
+        "a follower commits beyond what matched",
+        "same-state",
+        ((Core, "_on_append", _commit_own_last),),
+        5,
+        100,
+        ("halves", "cut_leader", "crash_leader"),
+    ),
     "refused-taken": Bug("a refusal is taken for a match", "goes-on", ((Progress, "answered", _match_beyond),)),
     "same-id": Bug("a lost folder keeps its name and votes", "one-vote", ((Node, "start", _same_id),)),
 }
-_WRAPS = {"_forget_vote", "_step_with_time", "_prevote_raises", "_votes_twice", "_own_last", "_commit_own_last",
-          "_started_willing", "_same_id", "_match_beyond"}
+_WRAPS = {
+    "_forget_vote",
+    "_step_with_time",
+    "_prevote_raises",
+    "_votes_twice",
+    "_own_last",
+    "_commit_own_last",
+    "_started_willing",
+    "_same_id",
+    "_match_beyond",
+}
 
 # The first seed in which each is seen, where it is not 0: the tests begin there. `main` begins at 0.
 FIRST = {
-    "lease-undrifted": 8, "bound-to-none": 3, "old-image": 1, "own-last": 25, "learner-counted": 1,
-    "change-open": 2, "commit-own-last": 11, "any-log": 2, "gone-counted": 12, "read-early": 4,
-    "config-kept": 2, "lease-at-answer": 40, "willing-at-start": 2, "cut-always": 3, "same-id": 15,
+    "lease-undrifted": 8,
+    "bound-to-none": 3,
+    "old-image": 1,
+    "own-last": 25,
+    "learner-counted": 1,
+    "change-open": 2,
+    "commit-own-last": 11,
+    "any-log": 2,
+    "gone-counted": 12,
+    "read-early": 4,
+    "config-kept": 2,
+    "lease-at-answer": 40,
+    "willing-at-start": 2,
+    "cut-always": 3,
+    "same-id": 15,
 }
 
 
--- a/linkdock/lab/virtual_log_checks.py
+++ b/linkdock/lab/virtual_log_checks.py
@@ -34,15 +34,15 @@
         self.leaders: dict[int, str] = {}
         self.votes: dict[tuple[str, int], str] = {}
         self.written: dict[tuple[int, int], tuple[int, Entry]] = {}
-        self.chosen: list[Entry] = []            # committed, by index from 1
-        self.chosen_in: list[int] = []           # in which term each was committed
-        self.terms = 0                           # the highest that any process was in
+        self.chosen: list[Entry] = []  # committed, by index from 1
+        self.chosen_in: list[int] = []  # in which term each was committed
+        self.terms = 0  # the highest that any process was in
         self.commits: dict[str, int] = {}
         self.seen: dict[str, tuple] = {}
         self.lost: set[str] = set()
         self.heard: dict[str, dict[str, float]] = {}
         self.nodes: dict = {}
-        self.floor = 0                           # index that every later read must have seen
+        self.floor = 0  # index that every later read must have seen
         self.effective: list[tuple[str, int, str]] = []
         self._state = Register()
         self.on_leader = lambda node: None
@@ -95,20 +95,31 @@
     def sent(self, node, to: str, message: object) -> None:
         """Whatever is said stands on the disk (which only holds what was synced)."""
         vote = node.disk.vote
-        if isinstance(message, Voted) and message.granted and (message.term > vote.term or (
-                message.term == vote.term and vote.voted != to)):
+        if (
+            isinstance(message, Voted)
+            and message.granted
+            and (message.term > vote.term or (message.term == vote.term and vote.voted != to))
+        ):
             raise Broken("disk-first", f"{node.id} says its vote for {to} that is not on disk")
         if isinstance(message, _OF_A_TERM) and message.term > vote.term:
             raise Broken("disk-first", f"{node.id} speaks in term {message.term} that is not on disk")
-        if isinstance(message, Appended) and message.ok and message.term == vote.term and (
-                message.index > node.disk.last()):
+        if (
+            isinstance(message, Appended)
+            and message.ok
+            and message.term == vote.term
+            and (message.index > node.disk.last())
+        ):
             raise Broken("disk-first", f"{node.id} has {message.index}, it says, and not on disk")
         if isinstance(message, Appended) and message.ok:
             self._true(node, self.nodes[to], message)
 
     def _true(self, node, leader, message: Appended) -> None:
-        if not leader.up or not leader.core.leading or leader.core.term != message.term or (
-                node.disk.vote.term != message.term):
+        if (
+            not leader.up
+            or not leader.core.leading
+            or leader.core.term != message.term
+            or (node.disk.vote.term != message.term)
+        ):
             return
         mine, theirs = node.disk.entries.get(message.index), leader.core.log.term(message.index)
         if message.index > leader.core.log.last or (mine and theirs is not None and mine.term != theirs):
@@ -137,7 +148,8 @@
     def _one_change(self, node, entry: Entry) -> None:
         done, before = len(self.chosen), [e for e in node.disk.entries.values() if e.index < entry.index]
         if any(e.kind == Kind.CONFIG and e.index > done for e in before) or (
-                not done or self.chosen[-1].term < entry.term):
+            not done or self.chosen[-1].term < entry.term
+        ):
             raise Broken("one-change", f"{node.id} changes at {entry.index} while a change may be open")
 
     # --- What is committed.
--- a/linkdock/lab/virtual_log_node.py
+++ b/linkdock/lab/virtual_log_node.py
@@ -19,7 +19,7 @@
         self.vote, self.image = stored.vote, stored.image
         self.entries: dict[int, Entry] = {e.index: e for e in stored.entries}
 
-        self.has_cut = False    # by the last writes
+        self.has_cut = False  # by the last writes
 
     @staticmethod
     def writes(ready: Ready) -> list[tuple[str, object]]:
@@ -138,7 +138,7 @@
     def crash(self) -> None:
         if self.core and self.syncing:
             writes = self.syncing[1]
-            self.disk.do(writes[:self.random.randint(0, len(writes))])
+            self.disk.do(writes[: self.random.randint(0, len(writes))])
         self.core, self.syncing = None, None
         self.cycle += 1
 
@@ -176,7 +176,7 @@
             if ready is None:
                 break
             writes = self.disk.writes(ready)
-            self.voters = self.core.config.voters   # by whom what is committed now was counted
+            self.voters = self.core.config.voters  # by whom what is committed now was counted
             self.syncing = (ready, writes)
             self.begun(ready)
             if writes and self.random.random() < self.world.slow_disk:
--- a/linkdock/lab/virtual_log_search.py
+++ b/linkdock/lab/virtual_log_search.py
@@ -28,7 +28,7 @@
 from .virtual_log_checks import Broken
 
 IDS = ("a~0", "b~0", "c~0")
-SETTINGS = LogSettings(election=0.0, most_append=1, most_flights=1)   # one entry an Append: the most interleavings
+SETTINGS = LogSettings(election=0.0, most_append=1, most_flights=1)  # one entry an Append: the most interleavings
 _BYTES, _DECODE = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(AnyMessage).decode
 _MESSAGE = lru_cache(100_000)(_DECODE)
 
@@ -53,8 +53,11 @@
 def figure_8() -> tuple[Stored, ...]:
     """Three logs as in figure 8 of the Raft paper, before the leader of term 4 is elected."""
     one, image = Entry(1, 1, Kind.EMPTY), START[0].image
-    return (Stored(Vote(3, ""), image, (one, Entry(2, 2, Kind.COMMAND, b"x"))), Stored(Vote(3, "c~0"), image, (one,)),
-            Stored(Vote(3, "c~0"), image, (one, Entry(2, 3, Kind.COMMAND, b"y"))))
+    return (
+        Stored(Vote(3, ""), image, (one, Entry(2, 2, Kind.COMMAND, b"x"))),
+        Stored(Vote(3, "c~0"), image, (one,)),
+        Stored(Vote(3, "c~0"), image, (one, Entry(2, 3, Kind.COMMAND, b"y"))),
+    )
 
 
 def _copy(core: Core) -> Core:
@@ -79,11 +82,16 @@
 
 def _form(core: Core) -> bytes:
     """All of a process that its further steps depend on. Rounds are always 1 and times 0, so they are left out."""
-    lead = core._lead and [core._lead.first, [
-        [peer, p.match, p.next, p.probing, p.asked, list(p.flights), p.told, p.beat]
-        for peer, p in sorted(core._lead.followers.items())]]
-    return _BYTES([core.role, core.term, core.voted, core.leader, core.commit, core.log.held,
-                   sorted(core._votes), lead])
+    lead = core._lead and [
+        core._lead.first,
+        [
+            [peer, p.match, p.next, p.probing, p.asked, list(p.flights), p.told, p.beat]
+            for peer, p in sorted(core._lead.followers.items())
+        ],
+    ]
+    return _BYTES(
+        [core.role, core.term, core.voted, core.leader, core.commit, core.log.held, sorted(core._votes), lead]
+    )
 
 
 class State:
@@ -137,9 +145,9 @@
         last = None
         for at, sent in enumerate(state.way):
             if sent == last:
-                continue   # the same message twice: one delivery stands for both
+                continue  # the same message twice: one delivery stands for both
             last = sent
-            rest = state.way[:at] + state.way[at + 1:]
+            rest = state.way[:at] + state.way[at + 1 :]
             yield self._delivered(state, sent, rest, left)
             if doubled:
                 yield self._delivered(state, sent, state.way, (stands, proposals, beats, doubled - 1, crashes))
@@ -147,8 +155,13 @@
             if stands and not core.leading and core.term < self.bounds.term:
                 yield self._turn(state, k, self._stand, state.way, (stands - 1, *left[1:]))
             if core.leading and proposals:
-                yield self._turn(state, k, lambda c: c.propose(0.0, b"%d" % proposals), state.way,
-                                 (stands, proposals - 1, beats, doubled, crashes))
+                yield self._turn(
+                    state,
+                    k,
+                    lambda c: c.propose(0.0, b"%d" % proposals),
+                    state.way,
+                    (stands, proposals - 1, beats, doubled, crashes),
+                )
             if core.leading and beats:
                 yield self._turn(state, k, self._beat, state.way, (stands, proposals, beats - 1, doubled, crashes))
             if crashes:
@@ -190,7 +203,7 @@
                     chosen += ((entry, core.term),)
                 elif chosen[entry.index - 1][0] != entry:
                     raise Broken("same-state", f"{IDS[k]} applies another entry {entry.index}")
-        nodes = state.nodes[:k] + ((core, vote, _form(core)),) + state.nodes[k + 1:]
+        nodes = state.nodes[:k] + ((core, vote, _form(core)),) + state.nodes[k + 1 :]
         self._check(state, nodes, k, chosen)
         return State(nodes, tuple(sorted(way + tuple(out))) if out else way, chosen, left, state.depth + 1)
 
@@ -203,7 +216,7 @@
                 raise Broken("one-leader", f"{IDS[k]} and {IDS[at]} lead term {core.term}")
             if at != k:
                 _matching(core.log.held, other.log.held)
-        more = chosen[len(state.chosen):]
+        more = chosen[len(state.chosen) :]
         began = core.leading and not state.nodes[k][0].leading
         for at, (other, _, _) in enumerate(nodes):
             for entry, term in chosen if at == k and began else more if other.leading else ():
@@ -223,7 +236,7 @@
     """Two logs that hold an entry of one index and term are the same up to there."""
     for at in range(min(len(one), len(other)) - 1, -1, -1):
         if one[at].term == other[at].term:
-            if one[:at + 1] != other[:at + 1]:
+            if one[: at + 1] != other[: at + 1]:
                 raise Broken("log-matching", f"two logs differ below {at + 1}")
             return
 
@@ -246,8 +259,11 @@
         bounds, start = PLANS[name]
         bounds, begun = replace(bounds, states=args.states), time.monotonic()
         states, edges, depth, whole = Search(bounds, start).run()
-        print(f"{name}: {states} states, {edges} edges, depth {depth}, {'all' if whole else 'not all'} within "
-              f"{bounds}, {time.monotonic() - begun:.1f} s", flush=True)
+        print(
+            f"{name}: {states} states, {edges} edges, depth {depth}, {'all' if whole else 'not all'} within "
+            f"{bounds}, {time.monotonic() - begun:.1f} s",
+            flush=True,
+        )
     return 0
 
 
--- a/linkdock/lab/virtual_log_world.py
+++ b/linkdock/lab/virtual_log_world.py
@@ -13,7 +13,7 @@
 from .virtual_log_node import Node
 
 SMALL = LogSettings(most_open=64, most_append=400, most_flights=4, piece=120, most_pieces=3, most_applied=16)
-GIVE_UP = (0.05, 0.6)   # seconds a client waits for an answer before it asks elsewhere, one or the other
+GIVE_UP = (0.05, 0.6)  # seconds a client waits for an answer before it asks elsewhere, one or the other
 
 
 class Client:
@@ -21,7 +21,7 @@
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.number, self.begun = world, name, 0, 0.0
-        self.waits: tuple[str, int, int, int] | None = None   # node, its cycle, term, index
+        self.waits: tuple[str, int, int, int] | None = None  # node, its cycle, term, index
         self.asked, self.hint = 0, None
         self.next()
 
@@ -75,8 +75,9 @@
 class World:
     """Time is in true seconds; each process has its own clock. `run(until)` raises Broken."""
 
-    def __init__(self, seed: int, count: int, settings: LogSettings = SMALL, clients: int = 3,
-                 pace: float = 0.03) -> None:
+    def __init__(
+        self, seed: int, count: int, settings: LogSettings = SMALL, clients: int = 3, pace: float = 0.03
+    ) -> None:
         self.random, self.settings, self.pace = Random(seed), settings, pace
         self.now, self.events, self._number, self._moment = 0.0, [], 0, 0
         self.checks = Checks(settings.election)
@@ -84,12 +85,12 @@
         self.cut: set[tuple[str, str]] = set()
         self.epoch: dict[tuple[str, str], int] = {}
         self.loss = self.double = self.far = 0.0
-        self.delay = (0.0005, 0.004)   # seconds that a message takes
+        self.delay = (0.0005, 0.004)  # seconds that a message takes
         self.slow_disk, self.image_every = 0.1, self.random.choice((8, 20, 60, 100000))
         self.waiting: dict[tuple[str, int], Client] = {}
         self.writes: dict[tuple[str, int], tuple] = {}
         self.reads: list[tuple[int, str]] = []
-        self.last_answer = -1.0      # when the write was begun that was answered last
+        self.last_answer = -1.0  # when the write was begun that was answered last
         self.task: dict | None = None
         names = tuple(f"n{k}~0" for k in range(count))
         self.first = founded(names).image
@@ -164,7 +165,7 @@
 
     def _wake(self, node: Node, cycle: int) -> None:
         if cycle == node.cycle and not node.paused:
-            self.look_at(node)    # a lease from before the pause must not be believed
+            self.look_at(node)  # a lease from before the pause must not be believed
             node.wake()
 
     # --- Clients.
--- a/linkdock/lab/virtual_members_stories.py
+++ b/linkdock/lab/virtual_members_stories.py
@@ -49,7 +49,8 @@
     An old packet of an incarnation that nobody remembers is taken for news until probes fail; `converged` sees to that.
     """
     world.broken["stays dead"] += sum(
-        one.heard.standing is ALIVE and not one.was_up and one.knew and one.at >= since for one in world.events)
+        one.heard.standing is ALIVE and not one.was_up and one.knew and one.at >= since for one in world.events
+    )
 
 
 def crash(seed: int, size: int, settings: MembersSettings, make: type[Swim]) -> Measures:
@@ -65,6 +66,7 @@
 
     def known() -> bool:
         return all(one.machine.view()[dead.id].standing is FAILED for one in world.running())
+
     world.broken["in time"] += world.settle(90, known) is None
     first: dict[str, float] = {}
     for one in world.events:
@@ -72,8 +74,12 @@
             first.setdefault(one.by, one.at - since)
     times = sorted(first.values())
     if times:
-        measures |= {"first_s": round(times[0], 2), "median_s": round(median(times), 2),
-                     "p99_s": round(times[int(0.99 * (len(times) - 1))], 2), "all_s": round(times[-1], 2)}
+        measures |= {
+            "first_s": round(times[0], 2),
+            "median_s": round(median(times), 2),
+            "p99_s": round(times[int(0.99 * (len(times) - 1))], 2),
+            "all_s": round(times[-1], 2),
+        }
     world.run(world.now + 40)
     _no_ghosts(world, since + 45)
     return _end(world, measures)
@@ -161,8 +167,11 @@
         world.network.cuts |= {(other, "c")} if one_way else {(other, "c"), ("c", other)}
 
     def parted() -> bool:
-        return all(not (world.sees(one) & (set() if one.id in ids else ids)
-                        or world.sees(one) - ids and one.id in ids) for one in world.all)
+        return all(
+            not (world.sees(one) & (set() if one.id in ids else ids) or world.sees(one) - ids and one.id in ids)
+            for one in world.all
+        )
+
     if one_way:
         world.run(since + 90)
     else:
@@ -175,14 +184,17 @@
         near = {one.id: one.id in ids for one in world.all}
         measures["own_side_failed"] = sum(
             one.at >= since and one.heard.standing is FAILED and near[one.by] == near[one.heard.peer.id]
-            for one in world.events)
+            for one in world.events
+        )
     world.network.cuts.clear()
     took = world.settle(120)
     measures["healed_s"] = took
     world.broken["healed"] += took is None
     if not one_way:
-        measures["healing_failed"] = sum(one.at >= healed and one.heard.standing is FAILED
-                                         and near[one.by] == near[one.heard.peer.id] for one in world.events)
+        measures["healing_failed"] = sum(
+            one.at >= healed and one.heard.standing is FAILED and near[one.by] == near[one.heard.peer.id]
+            for one in world.events
+        )
         world.broken["own side stays"] += measures["own_side_failed"] + measures["healing_failed"] > 0
     return _end(world, measures)
 
@@ -199,9 +211,11 @@
     span = 120
     world.run(world.now + span)
     each = 1 / (span * size)
-    measures |= {"packets_s": round((world.packets - packets) * each, 2),
-                 "bytes_s": round((world.bytes - sent) * each, 1),
-                 "cpu_s_h": round((world.cpu - cpu) * each * 3600, 2)}
+    measures |= {
+        "packets_s": round((world.packets - packets) * each, 2),
+        "bytes_s": round((world.bytes - sent) * each, 1),
+        "cpu_s_h": round((world.cpu - cpu) * each * 3600, 2),
+    }
     world.broken["bounded"] += measures["packets_s"] > 2.6 or measures["bytes_s"] > 900
     return _end(world, measures)
 
@@ -226,8 +240,14 @@
         took = world.settle(60)
         world.broken["converged"] += took is None
         worst = max(worst, took or 60)
-        told = [one for one in world.events if one.at >= began and one.heard.peer.id == process.id
-                and one.heard.standing is ALIVE and one.by != process.id]
+        told = [
+            one
+            for one in world.events
+            if one.at >= began
+            and one.heard.peer.id == process.id
+            and one.heard.standing is ALIVE
+            and one.by != process.id
+        ]
         if wait > 30 and old == process.id:
             world.broken["returned"] += not told or not all(one.heard.returned for one in told)
         if old != process.id:
@@ -252,11 +272,18 @@
         victim, liar, to = random.choice(world.all[:-1]), random.choice(world.all), random.choice(world.all[:-1])
         absurd = random.choice([0, victim.machine.incarnation, victim.machine.incarnation + 1, HIGHEST, 1 << 62, -5])
         ghost = victim.peer().__class__(f"ghost~{random.randrange(9)}", "a", "r", "10.9.9.9", 7000)
-        rumours = (Rumour(victim.peer(), random.choice([FAILED, SUSPECT, Standing.LEFT]), absurd),
-                   Rumour(dead.peer(), ALIVE, random.choice([0, HIGHEST + 1])), Rumour(ghost, FAILED, 1))
+        rumours = (
+            Rumour(victim.peer(), random.choice([FAILED, SUSPECT, Standing.LEFT]), absurd),
+            Rumour(dead.peer(), ALIVE, random.choice([0, HIGHEST + 1])),
+            Rumour(ghost, FAILED, 1),
+        )
         sender = random.choice([victim.peer(), liar.peer(), to.peer()])
-        packet = random.choice([Ack(sender, 0, random.getrandbits(62), rumours, target=sender.id),
-                                Ping(sender, 0, random.getrandbits(62), rumours, to=to.id)])
+        packet = random.choice(
+            [
+                Ack(sender, 0, random.getrandbits(62), rumours, target=sender.id),
+                Ping(sender, 0, random.getrandbits(62), rumours, to=to.id),
+            ]
+        )
         world.carry("a", to.address, packet)
 
     for n in range(120):
@@ -280,6 +307,7 @@
 
     def only_new() -> bool:
         return all({new.id, old.id} & world.sees(one) == {new.id} for one in world.running() if one is not old)
+
     measures["taken_over_s"] = world.settle(60, only_new)
     world.broken["taken over"] += measures["taken_over_s"] is None
     quiet = world.now
@@ -287,8 +315,9 @@
     world.crash(late, folder_lost=True)
     world.start(late)
     world.run(world.now + 120)
-    world.broken["stays dead"] += sum(one.at > quiet and one.heard.standing is ALIVE and one.heard.peer.id == old.id
-                                      for one in world.events)
+    world.broken["stays dead"] += sum(
+        one.at > quiet and one.heard.standing is ALIVE and one.heard.peer.id == old.id for one in world.events
+    )
     world.broken["taken over"] += not only_new()
     return _end(world, measures)
 
@@ -296,6 +325,7 @@
 def forget(seed: int, size: int, settings: MembersSettings, make: type[Swim]) -> Measures:
     """Those that failed are forgotten by all, and stay so."""
     from msgspec.structs import replace
+
     settings = replace(settings, forget_s=60.0, exchange_s=5.0)
     world, measures = _begin(seed, size, settings, make)
     world.run(world.now + 10)
@@ -308,8 +338,7 @@
     world.crash(late, folder_lost=True)
     world.start(late)
     world.run(world.now + 150)
-    gone = [one for one in world.running() for known in one.machine.view()
-            if not world.is_up(known)]
+    gone = [one for one in world.running() for known in one.machine.view() if not world.is_up(known)]
     world.broken["forgotten"] += len(gone)
     world.broken["converged"] += not world.agreed()
     return _end(world, measures)
@@ -365,7 +394,18 @@
 
 
 STORIES: dict[str, Story] = {
-    "crash": crash, "loss": loss, "pauses": pauses, "long-pauses": long_pauses, "weary": weary, "slow": deaf,
-    "cut": cut, "one-way": one_way, "idle": idle, "returns": returns, "twin": twin, "lies": lies, "forget": forget,
+    "crash": crash,
+    "loss": loss,
+    "pauses": pauses,
+    "long-pauses": long_pauses,
+    "weary": weary,
+    "slow": deaf,
+    "cut": cut,
+    "one-way": one_way,
+    "idle": idle,
+    "returns": returns,
+    "twin": twin,
+    "lies": lies,
+    "forget": forget,
     "all": all_at_once,
 }
--- a/linkdock/lab/virtual_members_world.py
+++ b/linkdock/lab/virtual_members_world.py
@@ -18,7 +18,7 @@
 from ..cluster.members.swim import Swim
 
 ZONES = ("a", "b", "c")
-MOST_INBOX = 256   # datagrams that a paused process's socket keeps
+MOST_INBOX = 256  # datagrams that a paused process's socket keeps
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -28,9 +28,9 @@
 
     loss: float = 0.0
     twice: float = 0.0
-    astray: float = 0.0      # delayed by up to `astray_s`, so that others overtake them
+    astray: float = 0.0  # delayed by up to `astray_s`, so that others overtake them
     astray_s: float = 2.0
-    replay: float = 0.0      # recorded and sent again `replay_s` later
+    replay: float = 0.0  # recorded and sent again `replay_s` later
     replay_s: tuple[float, float] = (5.0, 60.0)
     cuts: set[tuple[str, str]] = field(default_factory=set)
 
@@ -47,10 +47,10 @@
     machine: Swim | None = None
     up: bool = False
     paused: bool = False
-    slow: float = 0.0        # seconds that each datagram waits before it is looked at, at the most
+    slow: float = 0.0  # seconds that each datagram waits before it is looked at, at the most
     due: float = inf
     inbox: list[Packet] = field(default_factory=list)
-    dead: dict[str, int] = field(default_factory=dict)   # who has failed or left at what incarnation, as it was told
+    dead: dict[str, int] = field(default_factory=dict)  # who has failed or left at what incarnation, as it was told
 
     @property
     def id(self) -> str:
@@ -67,8 +67,8 @@
     at: float
     by: str
     heard: Heard
-    was_up: bool    # that life was running then
-    knew: bool      # this run of the process had heard before that it failed or left at this incarnation or a higher
+    was_up: bool  # that life was running then
+    knew: bool  # this run of the process had heard before that it failed or left at this incarnation or a higher
 
 
 class World:
@@ -86,7 +86,7 @@
         self.seeds = [one.address for one in self.all[:3]]
         self.events: list[Event] = []
         self.broken: Counter[str] = Counter()
-        self.taped: Process | None = None   # whose last packets are kept, to be sent again by a story
+        self.taped: Process | None = None  # whose last packets are kept, to be sent again by a story
         self.tape: deque[Packet] = deque(maxlen=200)
         self.packets = self.bytes = self.calls = 0
         self.cpu = 0.0
@@ -238,8 +238,11 @@
         return any(one.up and str(one.life) == life for one in self.named.get(name, ()))
 
     def one_life(self, process: Process, name: str) -> None:
-        lives = [one for one, rumour in process.machine.view().items()
-                 if name_of(one) == name and rumour.standing < Standing.FAILED]
+        lives = [
+            one
+            for one, rumour in process.machine.view().items()
+            if name_of(one) == name and rumour.standing < Standing.FAILED
+        ]
         self.broken["one life"] += len(lives) > 1
 
     def sees(self, process: Process) -> set[str]:
--- a/linkdock/protocol/admin.py
+++ b/linkdock/protocol/admin.py
@@ -23,9 +23,9 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 24             # connections at once
-MOST_LINE = 512       # bytes
-WHOLE = 5.0           # seconds for a line to come whole
+MOST = 24  # connections at once
+MOST_LINE = 512  # bytes
+WHOLE = 5.0  # seconds for a line to come whole
 ID = re.compile(r"[!-~]{1,200}\Z")
 
 
@@ -54,8 +54,14 @@
 
 
 # Each call's method, and whether it names an endpoint.
-CALLS = {"status": ("status", False), "stats": ("stats", False), "maint-on": ("maint_on", True),
-         "maint-off": ("maint_off", True), "standby": ("standby", False), "active": ("active", False)}
+CALLS = {
+    "status": ("status", False),
+    "stats": ("stats", False),
+    "maint-on": ("maint_on", True),
+    "maint-off": ("maint_off", True),
+    "standby": ("standby", False),
+    "active": ("active", False),
+}
 
 
 def answer(desk: Desk, line: bytes) -> bytes:
@@ -78,7 +84,7 @@
     try:
         said = getattr(desk, method)(*rest)
     except Refusal as why:
-        if name != "status":   # Danger: on standby it says no as often as anybody looks
+        if name != "status":  # Danger: on standby it says no as often as anybody looks
             log.info("the call %s: %s", name, log_line(why))
         return f"-ERR {why}\n".encode()
     except Exception:
@@ -94,7 +100,7 @@
 
     def __init__(self, desk: Desk, listen: tuple[str, int], wheel: Wheel, spawn: Callable) -> None:
         self._desk, self._wheel, self._spawn = desk, wheel, spawn
-        self._streams: dict[IOStream, None] = {}   # the oldest first
+        self._streams: dict[IOStream, None] = {}  # the oldest first
         sockets = bind_sockets(listen[1], listen[0], family=socket.AF_INET, backlog=128)
         self.port = sockets[0].getsockname()[1]
         self._listener = Listener(sockets, wheel, self._accepted)
@@ -125,8 +131,8 @@
             whole = end and len(line) <= MOST_LINE
             stream.write(answer(self._desk, line) if whole else b"-ERR the line is too long\n")
             await part(stream, None, self._wheel.after)
-        except OSError:   # a closed stream's among them
-            pass   # its caller has gone, or its time is over
+        except OSError:  # a closed stream's among them
+            pass  # its caller has gone, or its time is over
         finally:
             timer.cancel()
             self._drop(stream)
--- a/linkdock/protocol/calls.py
+++ b/linkdock/protocol/calls.py
@@ -30,11 +30,11 @@
 log = logging.getLogger(__name__)
 
 MOST_BODY = 64 * 1024
-ROOM_OF_ONE = 200      # bytes of a batch that one message takes at most besides its body
-MARGIN = 0.05          # seconds before the told end of a call at which it is given up
-NO_ROOM_PAUSE = 0.05   # seconds until a connection is tried again that there was no room for
-REST_OF_ANSWER = 0.5   # seconds that an answer may take from its first byte to its last
-CLOSED = 0.1           # and until its server has surely met the close of one that took longer
+ROOM_OF_ONE = 200  # bytes of a batch that one message takes at most besides its body
+MARGIN = 0.05  # seconds before the told end of a call at which it is given up
+NO_ROOM_PAUSE = 0.05  # seconds until a connection is tried again that there was no room for
+REST_OF_ANSWER = 0.5  # seconds that an answer may take from its first byte to its last
+CLOSED = 0.1  # and until its server has surely met the close of one that took longer
 STATES = {"done": DELIVERED, "failed": ERROR, "busy": TURNED_AWAY, "void": NOT_SENT, "used_up": NOT_SENT}
 
 
@@ -44,9 +44,20 @@
     def may_go(self, server: str, item: Item) -> bool:
         """Asked right before the first byte goes out; a yes is on record."""
 
-    def ended(self, server: str, item: Item, how: str, elapsed: float, wait: float = 0.0,
-              load: tuple[float, float] | None = None, over: bool = False, owed: bool = False,
-              due: float = inf, read: str = "", tried: bool = True) -> None:
+    def ended(
+        self,
+        server: str,
+        item: Item,
+        how: str,
+        elapsed: float,
+        wait: float = 0.0,
+        load: tuple[float, float] | None = None,
+        over: bool = False,
+        owed: bool = False,
+        due: float = inf,
+        read: str = "",
+        tried: bool = True,
+    ) -> None:
         """An item has its outcome; `over` where the request is over, `owed` where its end is still owed.
 
         `due` is when the first of those that shared its call ran out of time, on the loop's clock; `read` says for
@@ -63,13 +74,21 @@
 class Backend:
     """What all calls share."""
 
-    def __init__(self, desk: Desk, table: ServerTable, pool: ConnectionPool, wheel: Wheel,
-                 clock: Callable[[], float], connect_timeout: float, fields: list[str]) -> None:
+    def __init__(
+        self,
+        desk: Desk,
+        table: ServerTable,
+        pool: ConnectionPool,
+        wheel: Wheel,
+        clock: Callable[[], float],
+        connect_timeout: float,
+        fields: list[str],
+    ) -> None:
         self.desk, self.table, self.pool, self.wheel, self.clock = desk, table, pool, wheel, clock
         self.connect_timeout, self.fields = connect_timeout, fields
-        self.kept: KeptPool | None = None       # the pool, where the keeper is on
-        self.observer: Observer | None = None   # of the records, where they are on
-        self.figures: Figures | None = None     # where there are operators
+        self.kept: KeptPool | None = None  # the pool, where the keeper is on
+        self.observer: Observer | None = None  # of the records, where they are on
+        self.figures: Figures | None = None  # where there are operators
 
     def load(self, headers: dict[str, str]) -> tuple[float, float] | None:
         """The load report of an answer, if it carries one that can be read."""
@@ -82,22 +101,24 @@
     def __init__(self, backend: Backend, order: Order, requests: list[Request]) -> None:
         self._b, self.server, self._row = backend, order.server, backend.table.row(order.server)
         self._requests = {r.id: r for r in requests}
-        self.items = {item.request: item for item in order.items}   # without an outcome yet
-        self._began, self._given_up = backend.clock(), set()   # the latter: items given up, for a late answer
-        self._writing: Future | None = None   # of its bytes, from the first on
-        self._fresh = False    # whether it goes over a connection that nothing went over before
-        self._single = True    # whether one answer counts for one item
+        self.items = {item.request: item for item in order.items}  # without an outcome yet
+        self._began, self._given_up = backend.clock(), set()  # the latter: items given up, for a late answer
+        self._writing: Future | None = None  # of its bytes, from the first on
+        self._fresh = False  # whether it goes over a connection that nothing went over before
+        self._single = True  # whether one answer counts for one item
         self._ordered = any(r.ordered for r in requests)
-        self._spoilt = False   # whether the answer began and did not end in time
+        self._spoilt = False  # whether the answer began and did not end in time
         self._connection: Connection | None = None
-        self._asked: Asked | None = None   # the wish for one, where the keeper is on
-        self._short = False    # whether it waits for a connection that this process has no room for
+        self._asked: Asked | None = None  # the wish for one, where the keeper is on
+        self._short = False  # whether it waits for a connection that this process has no room for
         self._written_at, self._parser = 0.0, http.AnswerParser(MOST_BODY)
         # Danger: an answer to several after the time of one of them. The platform takes a shared call's time from one
         # message, and a later answer delivers none of them, whatever it says of the others.
         self._due = min((r.until for r in requests), default=inf)
-        self._timers = {r: backend.wheel.after(max(item.limit - MARGIN, item.limit / 2), lambda r=r: self._late(r))
-                        for r, item in self.items.items()}
+        self._timers = {
+            r: backend.wheel.after(max(item.limit - MARGIN, item.limit / 2), lambda r=r: self._late(r))
+            for r, item in self.items.items()
+        }
 
     @property
     def _sent(self) -> bool:
@@ -106,8 +127,11 @@
         Danger: a proof that is none. At the process's end the wait for the write is cancelled, not the write.
         """
         write = self._writing
-        return write is not None and write.done() and (
-            not self._connection.stream.writing() if write.cancelled() else write.exception() is None)
+        return (
+            write is not None
+            and write.done()
+            and (not self._connection.stream.writing() if write.cancelled() else write.exception() is None)
+        )
 
     @property
     def _told(self) -> bool:
@@ -120,7 +144,7 @@
         item = self.items.pop(request, None)
         if item is not None:
             if how == DELIVERED and self._b.clock() - self._began > item.limit:
-                how = TIMED_OUT   # Danger: after its time an answer delivers nothing, even before the timer
+                how = TIMED_OUT  # Danger: after its time an answer delivers nothing, even before the timer
             if how in (RESET, TIMED_OUT):
                 # Danger: a machine that is gone or cut off leaves its connections open and silent, and resets
                 # them once it is back, with whatever was written. Costs a new one where the server was slow.
@@ -144,7 +168,7 @@
         if self.items:
             return
         if self._connection is not None:
-            self._connection.stream.close()   # the one way to take a call back; it frees the slot
+            self._connection.stream.close()  # the one way to take a call back; it frees the slot
         elif self._asked is not None:
             self._b.kept.give_up(self._asked)
 
@@ -155,7 +179,7 @@
     def _late(self, request: str) -> None:
         how = TIMED_OUT if self._sent else NOT_SENT if self._short else NOT_CONNECTED
         if self._connection is None and self._asked is not None and self._b.kept.serves(self.server):
-            how = NOT_SENT   # it waited for a connection to come free, and others were served
+            how = NOT_SENT  # it waited for a connection to come free, and others were served
         self._give_up(request, how)
 
     # --- The call.
@@ -169,11 +193,11 @@
         except PoolFull:
             how = NOT_SENT
         except (StreamClosedError, OSError):
-            if self._spoilt:   # else by the other side, or by giving up
+            if self._spoilt:  # else by the other side, or by giving up
                 log.warning("backend server %s: an answer without end", self.server)
                 how = await self._closed()
             elif self._writing is not None and self.items and not self._parser.read and self._b.kept is not None:
-                self._b.kept.used(self._connection, False)   # given up by nobody here, and nothing came on it
+                self._b.kept.used(self._connection, False)  # given up by nobody here, and nothing came on it
         except http.BadAnswer as bad:
             log.warning("backend server %s: %s", self.server, log_line(bad))
             how = await self._closed()
@@ -189,16 +213,16 @@
         if not self._ordered:
             return ERROR
         await self._b.wheel.pause(CLOSED)
-        return RESET   # it may be running still
+        return RESET  # it may be running still
 
     async def _exchange(self) -> bool:
-        if self._row is None:   # gone since the decisions chose it
+        if self._row is None:  # gone since the decisions chose it
             self._end_all(NOT_SENT)
             return False
         await (self._connect() if self._b.kept is None else self._ask())
         b = self._b
         if not self.items:
-            return b.kept is not None   # the keeper's lies untouched; else it was closed to give the call up
+            return b.kept is not None  # the keeper's lies untouched; else it was closed to give the call up
         stream, size = self._connection.stream, 0
         for request, item in list(self.items.items()):
             # Danger: while the connection came up a wait, a drain or an end may have been told. And a batch
@@ -285,8 +309,13 @@
             headers |= {"Idempotency-Key": key} if key else {}
             return http.request("POST", "/v1/messages", dial, headers, requests[0].body)
         headers["Content-Type"] = "application/json"
-        body = json.dumps([{"id": r.id, "key": r.idempotency_key or r.key, "body": base64.b64encode(r.body).decode()}
-                           for r in requests], separators=(",", ":")).encode()
+        body = json.dumps(
+            [
+                {"id": r.id, "key": r.idempotency_key or r.key, "body": base64.b64encode(r.body).decode()}
+                for r in requests
+            ],
+            separators=(",", ":"),
+        ).encode()
         return http.request("POST", "/v1/messages:batch", dial, headers, body)
 
     async def _answer(self) -> bool:
@@ -319,12 +348,12 @@
                     else:
                         self._judge(head, body)
                         return part.keep
-                if self._told and self.items and not self._ordered:   # else others of its key wait for all of it
+                if self._told and self.items and not self._ordered:  # else others of its key wait for all of it
                     if head is not None:
                         self._judge(head, body)
                     self._end_all(DELIVERED)
                 if timer is not None and not parser.begun:
-                    timer.cancel()   # what had begun was a 1xx answer in pieces, and the one to the call is to come
+                    timer.cancel()  # what had begun was a 1xx answer in pieces, and the one to the call is to come
                     timer = None
                 elif timer is None and parser.begun:
                     timer = self._b.wheel.after(REST_OF_ANSWER, self._without_end)
@@ -357,11 +386,15 @@
                 how = TURNED_AWAY
             case 503:
                 how = NOT_SENT if head.headers.get("x-line-busy") == "1" else TURNED_AWAY
-                if how == TURNED_AWAY and self._fresh and "endpoint-load-metrics" not in head.headers and (
-                        "close" in head.headers.get("connection", "").lower()):
+                if (
+                    how == TURNED_AWAY
+                    and self._fresh
+                    and "endpoint-load-metrics" not in head.headers
+                    and ("close" in head.headers.get("connection", "").lower())
+                ):
                     # Danger: all its connections are taken, idle ones of others hold them, and a slower pace alone
                     # would never free any. With a report it is about the call.
-                    how, self._began = NOT_CONNECTED, self._written_at   # how long the dial took says nothing of it
+                    how, self._began = NOT_CONNECTED, self._written_at  # how long the dial took says nothing of it
                 if self._b.kept is not None:
                     self._b.kept.told_full(self._connection, self._b.clock() - self._written_at)
             case 410:
@@ -384,8 +417,11 @@
         states = {}
         try:
             lines = json.loads(body)
-            if not isinstance(lines, list) or not all(STATES[line["state"]] for line in lines) or (
-                    len({str(line["id"]) for line in lines}) < len(lines)):
+            if (
+                not isinstance(lines, list)
+                or not all(STATES[line["state"]] for line in lines)
+                or (len({str(line["id"]) for line in lines}) < len(lines))
+            ):
                 raise http.BadAnswer("no list of states, one for each id")
             states = {str(line["id"]): line["state"] for line in lines}
         except (ValueError, TypeError, KeyError, RecursionError) as bad:
@@ -393,8 +429,9 @@
             log.warning("backend server %s: %s", self.server, log_line(http.BadAnswer(f"batch answer: {bad}")))
         for request in list(self.items):
             state = states.get(request)
-            self._end(request, STATES.get(state, ERROR), **more, over=state in ("void", "used_up"),
-                      owed=state == "used_up")
+            self._end(
+                request, STATES.get(state, ERROR), **more, over=state in ("void", "used_up"), owed=state == "used_up"
+            )
         for request in self._given_up:
             if states.get(request) == "done":
                 self._b.desk.delivered_late(request, self._due)
--- a/linkdock/protocol/discovery.py
+++ b/linkdock/protocol/discovery.py
@@ -24,12 +24,12 @@
 # Bytes that are read between two turns of the loop: some 16 rows. Danger: the parts of an index fill evenly and so grow
 # nearly together; a row costs 20 µs mostly, and ten times that then.
 PIECE = 2 * 1024
-LOOK_EVERY = 500          # rows of a whole list between looks at its size
-MOST_CHANGES = 200        # rows of a change that are handed on at once
-MOST_UNTOLD = 20_000      # rows that are held while a line has not told whether it is whole
-MOST_PASSED = 20          # rows of one line that cannot be read and are named in the log
-MOST_LINE = 60.0          # seconds for which the rows of one line count as news while they come in
-MOST_FIGURE = 1e38        # of a share or a time
+LOOK_EVERY = 500  # rows of a whole list between looks at its size
+MOST_CHANGES = 200  # rows of a change that are handed on at once
+MOST_UNTOLD = 20_000  # rows that are held while a line has not told whether it is whole
+MOST_PASSED = 20  # rows of one line that cannot be read and are named in the log
+MOST_LINE = 60.0  # seconds for which the rows of one line count as news while they come in
+MOST_FIGURE = 1e38  # of a share or a time
 
 
 class BadRow(LinkdockError, ValueError):
@@ -69,10 +69,15 @@
     if not (abs(share) < MOST_FIGURE and abs(born) < MOST_FIGURE):
         raise BadRow(f"share {share}, born {born}")
     return Server(
-        name, (address, number), destination, health,
+        name,
+        (address, number),
+        destination,
+        health,
         kinds.index(row["class"]) if row["class"] in kinds else 0,
         zones.index(row["site"]) if row["site"] in zones else 0,
-        share, born)
+        share,
+        born,
+    )
 
 
 def read_rows(rows: Iterable[object], zones: list[str], kinds: list[str], passed: int = 0) -> list[Server]:
@@ -123,7 +128,7 @@
 
     def __init__(self, desk: Desk, most: int) -> None:
         self._desk, self._most = desk, most
-        self.passed = 0   # rows of this line that could not be read
+        self.passed = 0  # rows of this line that could not be read
         self._roster: Roster | None = None
         self._untold: list[Server] = []
         self._count, self._refused = 0, False
@@ -139,14 +144,16 @@
             return
         if not whole:
             for n in range(0, len(servers), MOST_CHANGES):
-                self._desk.changed(servers[n:n + MOST_CHANGES], None)
+                self._desk.changed(servers[n : n + MOST_CHANGES], None)
             return
         self._roster = self._roster or Roster()
         for server in servers:
             self._roster.put(server)
         if self._count % LOOK_EVERY < len(servers) and self._roster.size() > self._most:
-            self._refuse(f"{len(self._roster)} rows are as many as limits.memory_mb gives room for "
-                         f"({self._most / 1e6:.1f} MB)")
+            self._refuse(
+                f"{len(self._roster)} rows are as many as limits.memory_mb gives room for "
+                f"({self._most / 1e6:.1f} MB)"
+            )
 
     def _refuse(self, why: str) -> None:
         """Danger: half a list in force. What cannot be held whole is not taken at all."""
@@ -171,16 +178,25 @@
 class Watch:
     """Keeps one watch open and hands its news on. `version` tells from where to go on."""
 
-    def __init__(self, dial: tuple[str, int], wheel: Wheel, asking: Asking, zones: list[str], kinds: list[str],
-                 version: Callable[[], int], desk: Desk, most_list: int) -> None:
+    def __init__(
+        self,
+        dial: tuple[str, int],
+        wheel: Wheel,
+        asking: Asking,
+        zones: list[str],
+        kinds: list[str],
+        version: Callable[[], int],
+        desk: Desk,
+        most_list: int,
+    ) -> None:
         self._dial, self._wheel, self._asking = dial, wheel, asking
         self._zones, self._kinds, self._version = zones, kinds, version
         self._desk, self._most_list = desk, most_list
         self._stream: IOStream | None = None
         self._served = self._moved = self._closed = False
-        self.told = False   # whether anything has been told in this life
-        self._old = False   # whether the last whole list was older than what is known
-        self._resting: Timer | None = None   # until the next ask
+        self.told = False  # whether anything has been told in this life
+        self._old = False  # whether the last whole list was older than what is known
+        self._resting: Timer | None = None  # until the next ask
         self._rested = asyncio.Event()
 
     async def run(self) -> None:
@@ -200,7 +216,7 @@
             except Exception:
                 log.exception("discovery: the watch failed and is opened again")
             finally:
-                if self._stream is not None:   # else there was no descriptor for it
+                if self._stream is not None:  # else there was no descriptor for it
                     self._stream.close()
             pause = self._asking.moved() if self._moved else self._asking.again(self._served)
             if not self._served and pause > 1.0:
@@ -213,12 +229,11 @@
         self._rested.clear()
         self._resting = self._wheel.after(seconds, self._rested.set)
         await self._rested.wait()
-        self._resting.cancel()   # Danger: `move` has set another since it rang, which would cut a later rest short
+        self._resting.cancel()  # Danger: `move` has set another since it rang, which would cut a later rest short
         self._resting = None
 
     async def _watch(self) -> None:
-        self._stream = stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM),
-                                         max_buffer_size=1 << 20)
+        self._stream = stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM), max_buffer_size=1 << 20)
         # Danger: discovery that is down stays silent on an open connection, and so does one cut off.
         timer = self._wheel.after(self._asking.patience(), stream.close)
         try:
@@ -227,7 +242,7 @@
             await stream.write(http.request("GET", path, self._dial))
             parser, reader = http.AnswerParser(most_body=None), ListReader()
             staging = Staging(self._desk, self._most_list)
-            lines, rows, since = -1, -1, 0.0   # so many were read; and since when the line that comes in has been
+            lines, rows, since = -1, -1, 0.0  # so many were read; and since when the line that comes in has been
             while not parser.whole:
                 data = await stream.read_bytes(PIECE, partial=True)
                 for part in parser.feed(data):
@@ -269,7 +284,7 @@
             return
         self._moved = True
         if self._stream is not None:
-            self._stream.close()   # `run` opens it again
+            self._stream.close()  # `run` opens it again
 
     def close(self) -> None:
         self._closed = True
--- a/linkdock/protocol/door.py
+++ b/linkdock/protocol/door.py
@@ -15,12 +15,12 @@
 from collections.abc import Iterator
 from itertools import chain, islice, takewhile
 
-BUSY, BAD, BEGUN, IDLE = range(4)   # a command is being answered; after an error; waiting for the rest of
+BUSY, BAD, BEGUN, IDLE = range(4)  # a command is being answered; after an error; waiting for the rest of
 #                                     a command, the first one included; between commands
-FRESH = 0.25    # seconds from connecting in which a first command may well be on its way
-REST = 0.05     # seconds of idleness before a connection may be closed as one too many
-KEPT_PART = 4   # one part in so many of the clients' own bound that may lie idle after messages
-BULK = 16       # one part in so many of the places is cleared at once of connections without use
+FRESH = 0.25  # seconds from connecting in which a first command may well be on its way
+REST = 0.05  # seconds of idleness before a connection may be closed as one too many
+KEPT_PART = 4  # one part in so many of the clients' own bound that may lie idle after messages
+BULK = 16  # one part in so many of the places is cleared at once of connections without use
 
 
 class Place:
@@ -31,8 +31,8 @@
     def __init__(self, number: int, now: float) -> None:
         self.number, self.state, self.since, self.last = number, BEGUN, now, now
         self.address = ""
-        self.held = 0      # bytes of a command that is not whole yet
-        self.taken = self.commands = self.errors = 0   # messages taken on, whole commands, errors
+        self.held = 0  # bytes of a command that is not whole yet
+        self.taken = self.commands = self.errors = 0  # messages taken on, whole commands, errors
 
     def uselessness(self) -> float:
         """What it counts against its address once it is over: silence more than idle words, errors beside."""
--- a/linkdock/protocol/exposition.py
+++ b/linkdock/protocol/exposition.py
@@ -14,7 +14,8 @@
 
 def render(figures: Figures, **gauges: int) -> list[str]:
     """Every series there is, those at 0 too."""
-    lines = [f'{PREFIX}_operations{{priority="{escaped(cls)}",status="{end}"}} {count}'
-             for cls, end, count in figures.ends()]
+    lines = [
+        f'{PREFIX}_operations{{priority="{escaped(cls)}",status="{end}"}} {count}' for cls, end, count in figures.ends()
+    ]
     numbers = {"relayed": figures.relayed, **gauges, "cfg_accepted": figures.accepted, "cfg_invalid": figures.invalid}
     return lines + [f"{PREFIX}_{name} {number}" for name, number in numbers.items()]
