--- a/linkdock/protocol/frontend.py
+++ b/linkdock/protocol/frontend.py
@@ -28,21 +28,22 @@
 
 log = logging.getLogger(__name__)
 
-BUFFER = 128 * 1024    # of one connection: one command, and the start of a next
-WHOLE = 2.0            # seconds from connecting, or from a later command's first byte, to the command's last
-IDLE_FOR = 5.0         # seconds without a command before a connection is closed,
-UNUSED_FOR = 2.0       # and before one that never handed in a message is
-STALLED = 2.0          # seconds for a client to read an answer
-PENALTY = 0.05         # seconds that a connection waits after its first error; each further one adds as much
-MOST_ERRORS = 10       # of one connection
+BUFFER = 128 * 1024  # of one connection: one command, and the start of a next
+WHOLE = 2.0  # seconds from connecting, or from a later command's first byte, to the command's last
+IDLE_FOR = 5.0  # seconds without a command before a connection is closed,
+UNUSED_FOR = 2.0  # and before one that never handed in a message is
+STALLED = 2.0  # seconds for a client to read an answer
+PENALTY = 0.05  # seconds that a connection waits after its first error; each further one adds as much
+MOST_ERRORS = 10  # of one connection
 WORD = re.compile(rb"[0-9A-Za-z_.:-]{1,64}\Z")
 
 
 class Desk(Protocol):
     """What a front needs."""
 
-    def ask(self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool,
-            early: bool = False) -> None:
+    def ask(
+        self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool, early: bool = False
+    ) -> None:
         """Hand a request in; its `answer` is called once. Raises Refused if it can never be taken.
 
         `early`: it may have lain in the socket until this process had started.
@@ -57,19 +58,28 @@
     turns is bounded: the usual clients, which send one whole command and wait for its answer, come first.
     """
 
-    def __init__(self, desk: Desk, sockets: list[socket.socket], wheel: Wheel, spawn: Callable, most: int,
-                 usual: int, most_held: int, gate: Gate | None = None) -> None:
+    def __init__(
+        self,
+        desk: Desk,
+        sockets: list[socket.socket],
+        wheel: Wheel,
+        spawn: Callable,
+        most: int,
+        usual: int,
+        most_held: int,
+        gate: Gate | None = None,
+    ) -> None:
         self._desk, self._wheel, self._spawn, self._most_held = desk, wheel, spawn, most_held
-        self._door, self._gate = Door(most, usual), gate   # the gate where `deploy/admission.json` is on
-        self._reads: dict[IOStream, asyncio.Future] = {}   # every connection, with its next read
-        self._places: dict[IOStream, Place] = {}           # and its place at the door,
-        self._streams: dict[Place, IOStream] = {}          # both ways
-        self._waits: dict[IOStream, asyncio.Future] = {}   # done with the read, or once the connection is given back
-        self._parting = Parting(wheel.after, spawn)        # those given back and not closed yet
+        self._door, self._gate = Door(most, usual), gate  # the gate where `deploy/admission.json` is on
+        self._reads: dict[IOStream, asyncio.Future] = {}  # every connection, with its next read
+        self._places: dict[IOStream, Place] = {}  # and its place at the door,
+        self._streams: dict[Place, IOStream] = {}  # both ways
+        self._waits: dict[IOStream, asyncio.Future] = {}  # done with the read, or once the connection is given back
+        self._parting = Parting(wheel.after, spawn)  # those given back and not closed yet
         self._closing = self._ending = False
-        self._early = 0                                    # number of the last place that may have waited for the start
-        self.observer: Observer | None = None              # of the records, where they are on
-        self.duty: Duty | None = None                      # whether clients are taken, where there are operators
+        self._early = 0  # number of the last place that may have waited for the start
+        self.observer: Observer | None = None  # of the records, where they are on
+        self.duty: Duty | None = None  # whether clients are taken, where there are operators
         self.port = sockets[0].getsockname()[1]
         self._listener = Listener(sockets, wheel, self._accepted)
 
@@ -78,9 +88,13 @@
         if gate is not None and gate.arrives(now, host) is not None:
             sock.close()
             return
-        if (gate is not None and gate.crowded(now, host) and not self._make_room(host)
-                or not self._at_most(self._door.most - 1, host)):
-            sock.close()   # all are in the middle of a request; its client has not been read, and comes again
+        if (
+            gate is not None
+            and gate.crowded(now, host)
+            and not self._make_room(host)
+            or not self._at_most(self._door.most - 1, host)
+        ):
+            sock.close()  # all are in the middle of a request; its client has not been read, and comes again
             if gate is not None:
                 gate.no_room(now, host)
             return
@@ -167,12 +181,18 @@
             now = self._wheel.now
             if stream.error is not None:
                 why = f"{why}: {stream.error}"
-            self.observer.left(place.number, why, place.taken, place.commands, now - place.since,
-                               now - place.last if place.state == IDLE else 0.0)
+            self.observer.left(
+                place.number,
+                why,
+                place.taken,
+                place.commands,
+                now - place.since,
+                now - place.last if place.state == IDLE else 0.0,
+            )
 
     async def _serve(self, stream: IOStream, place: Place) -> None:
         parser, why = resp.CommandParser(), "its client left"
-        due: float | None = self._wheel.now + WHOLE   # the command's end; none between commands
+        due: float | None = self._wheel.now + WHOLE  # the command's end; none between commands
         try:
             while True:
                 # Danger: a client that sends without pause. What is there already is answered without
@@ -210,7 +230,7 @@
             why = "malformed"
             if not stream.closed():
                 stream.write(resp.error(f"ERR Protocol error: {bad}"))
-        except OSError:   # of a closed stream, or of a client that cannot be reached any more
+        except OSError:  # of a closed stream, or of a client that cannot be reached any more
             pass
         finally:
             self._drop(stream, why)
@@ -253,7 +273,7 @@
             while sum(p.held for p in self._door.begun()) > self._most_held:
                 self._drop(self._streams[max(self._door.begun(), key=lambda p: p.held)], "memory")
             if due <= self._wheel.now and stream in self._reads and not self._reads[stream].done():
-                self._drop(stream, why)   # what had come by then has been looked at
+                self._drop(stream, why)  # what had come by then has been looked at
         timer = self._wheel.after(seconds, lambda: self._close_silent(stream, why))
         try:
             read = self._reads.get(stream)
@@ -262,7 +282,7 @@
                 wait = self._waits[stream] = asyncio.get_running_loop().create_future()
                 read.add_done_callback(lambda _: wait.done() or wait.set_result(None))
                 await wait
-            if stream not in self._reads:   # given back, also while this waited
+            if stream not in self._reads:  # given back, also while this waited
                 raise StreamClosedError
             data = read.result()
             # Danger: who sends before it has its answer has always sent more; at the very end no more is read.
@@ -294,8 +314,9 @@
         await self._written(stream, reply)
         return name != b"QUIT"
 
-    async def _enqueue(self, stream: IOStream, place: Place, parser: resp.CommandParser,
-                       words: list[bytes]) -> asyncio.Future:
+    async def _enqueue(
+        self, stream: IOStream, place: Place, parser: resp.CommandParser, words: list[bytes]
+    ) -> asyncio.Future:
         """Hand a message in; the write of its answer."""
         answered, writes, read = asyncio.get_running_loop().create_future(), [], self._reads[stream]
 
@@ -321,7 +342,7 @@
             if there:
                 writes.append(stream.write(resp.answer(said)))
                 writes[0].add_done_callback(seen)
-                there = not stream.closed()   # by a client that has gone since it was looked at
+                there = not stream.closed()  # by a client that has gone since it was looked at
             if there:
                 if isinstance(said, Taken) and not said.known and place in self._streams:
                     self._door.took(place)
@@ -332,9 +353,9 @@
 
         self._ask(words, answer, place)
         read.add_done_callback(gone)
-        await answered   # its deadline is the desk's: every request is answered at its next tick
+        await answered  # its deadline is the desk's: every request is answered at its next tick
         if not writes:
-            await read   # raises if the client has gone
+            await read  # raises if the client has gone
             raise resp.Malformed("too much behind one command")
         return writes[0]
 
@@ -358,11 +379,27 @@
         for what in ("d", "dest"):
             if not (told[what].isascii() and told[what].isdigit()) or len(told[what]) > 9:
                 raise Refused(f"{what} is not a whole number")
-        request = Request(name.decode(), key.decode(), 0, int(told["dest"]), 0.0, body, answer=answer,
-                          tenant=told.get("t", ""), idempotency_key=told.get("k", ""), client=place.number)
-        self._desk.ask(told["c"], int(told["dest"]), int(told["d"]) / 1000, request,
-                       told.get("r") == "1", told.get("again") == "1",
-                       early=place.commands == 1 and place.number <= self._early)
+        request = Request(
+            name.decode(),
+            key.decode(),
+            0,
+            int(told["dest"]),
+            0.0,
+            body,
+            answer=answer,
+            tenant=told.get("t", ""),
+            idempotency_key=told.get("k", ""),
+            client=place.number,
+        )
+        self._desk.ask(
+            told["c"],
+            int(told["dest"]),
+            int(told["d"]) / 1000,
+            request,
+            told.get("r") == "1",
+            told.get("again") == "1",
+            early=place.commands == 1 and place.number <= self._early,
+        )
 
     # --- The end.
 
--- a/linkdock/protocol/http.py
+++ b/linkdock/protocol/http.py
@@ -44,8 +44,9 @@
     keep: bool
 
 
-def request(method: str, path: str, dial: tuple[str, int], headers: dict[str, str] | None = None,
-            body: bytes = b"") -> bytes:
+def request(
+    method: str, path: str, dial: tuple[str, int], headers: dict[str, str] | None = None, body: bytes = b""
+) -> bytes:
     lines = [f"{method} {path} HTTP/1.1", f"Host: {dial[0]}:{dial[1]}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if method == "POST":
@@ -90,7 +91,7 @@
         self._keep = True
         self.status: int | None = None
         self.whole = False
-        self.read = 0   # bytes
+        self.read = 0  # bytes
 
     def so_far(self) -> str:
         """What came, in a few words."""
@@ -124,11 +125,11 @@
                 raise BadAnswer("a line without end")
             return None
         line = bytes(self._data[:end]).rstrip(b"\r")
-        del self._data[:end + 1]
+        del self._data[: end + 1]
         return line
 
     def _head(self, parts: list) -> bool:
-        if not self._data.startswith(START[:len(self._data)]):
+        if not self._data.startswith(START[: len(self._data)]):
             raise BadAnswer(f"no status line: {bytes(self._data[:60])!r}")
         first_end, end = self._data.find(b"\r\n"), self._data.find(b"\r\n\r\n")
         if first_end < 0:
@@ -145,7 +146,7 @@
                 raise BadAnswer("a head without end")
             return False
         version, *lines = bytes(self._data[:end]).decode("latin-1").split("\r\n")
-        del self._data[:end + 4]
+        del self._data[: end + 4]
         headers: dict[str, str] = {}
         for line in lines:
             header = HEADER.match(line)
@@ -169,7 +170,7 @@
         elif length is not None:
             self._left = int(length)
             if self._most is not None and self._left > self._most:
-                raise BadAnswer("the body is too long")   # at once, however slowly it comes
+                raise BadAnswer("the body is too long")  # at once, however slowly it comes
             self._step = self._counted
         else:
             self._step = self._until_close
--- a/linkdock/protocol/listening.py
+++ b/linkdock/protocol/listening.py
@@ -20,10 +20,10 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 512        # connections that may wait for this process,
-BATCH = 64           # and that are taken in one turn
-PAUSE = 0.05         # seconds without looking after descriptors had run out
-SAY_EVERY = 5.0      # seconds between two lines about it
+BACKLOG = 512  # connections that may wait for this process,
+BATCH = 64  # and that are taken in one turn
+PAUSE = 0.05  # seconds without looking after descriptors had run out
+SAY_EVERY = 5.0  # seconds between two lines about it
 # The system or this process has none left, of descriptors or of memory for them.
 NO_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
@@ -47,15 +47,16 @@
 class Listener:
     """Owner of listening sockets and of the spare descriptor. `taken` is called with each socket and its address."""
 
-    def __init__(self, sockets: list[socket.socket], wheel: Wheel,
-                 taken: Callable[[socket.socket, tuple], None]) -> None:
+    def __init__(
+        self, sockets: list[socket.socket], wheel: Wheel, taken: Callable[[socket.socket, tuple], None]
+    ) -> None:
         self._sockets, self._wheel, self._taken = sockets, wheel, taken
         self._loop = asyncio.get_running_loop()
         self._spare: int | None = None
         self._said_at = -SAY_EVERY
         self._closed = False
-        self._unseen = set(sockets)   # not found empty yet
-        self.refused = 0     # for want of descriptors, since the start
+        self._unseen = set(sockets)  # not found empty yet
+        self.refused = 0  # for want of descriptors, since the start
         self._keep_spare()
         self._look()
         self._loop.call_soon(self._first)
@@ -85,7 +86,7 @@
     def _readable(self, sock: socket.socket) -> bool:
         """Take a batch; whether more may wait."""
         for _ in range(BATCH):
-            if self._closed:   # by what the last one brought about
+            if self._closed:  # by what the last one brought about
                 return False
             try:
                 connection, address = sock.accept()
@@ -96,8 +97,8 @@
                 if bad.errno in NO_ROOM:
                     self._refuse(sock, bad)
                     return False
-                continue   # its client has gone already, or was never whole
-            self._taken(connection, address)   # which looks at what is cheap first: a flood comes this way
+                continue  # its client has gone already, or was never whole
+            self._taken(connection, address)  # which looks at what is cheap first: a flood comes this way
         return True
 
     def _refuse(self, sock: socket.socket, bad: OSError) -> None:
@@ -122,7 +123,7 @@
     def take_waiting(self) -> None:
         """Take all that wait. Danger: closed with the socket they are reset, and their requests get no answer."""
         for sock in self._sockets:
-            for _ in range(BACKLOG // BATCH):   # and no more: a flood must not keep it open
+            for _ in range(BACKLOG // BATCH):  # and no more: a flood must not keep it open
                 if not self._readable(sock):
                     break
 
--- a/linkdock/protocol/listing.py
+++ b/linkdock/protocol/listing.py
@@ -14,8 +14,8 @@
 
 from ..errors import LinkdockError
 
-MOST_ROW = 16 * 1024    # characters of one row
-MOST_REST = 64 * 1024   # and of a line besides its rows
+MOST_ROW = 16 * 1024  # characters of one row
+MOST_REST = 64 * 1024  # and of a line besides its rows
 _HOSTS = re.compile(r'"hosts"\s*:\s*\[')
 _BETWEEN = re.compile(r"[\s,]*")
 _EMPTY = re.compile(r"\n[ \t\r]*\n")
@@ -51,10 +51,10 @@
     def __init__(self) -> None:
         self._decode = codecs.getincrementaldecoder("utf-8")("strict").decode
         self._text = ""
-        self._head = ""              # of the line, before its rows
+        self._head = ""  # of the line, before its rows
         self._step = self._begin
         self._whole: bool | None = None
-        self.rows = self.lines = 0   # that have come so far; empty lines count, and each line's end
+        self.rows = self.lines = 0  # that have come so far; empty lines count, and each line's end
 
     def feed(self, data: bytes) -> Iterator[Rows | Told]:
         """Danger: bytes that are no list. What came ahead of them in the same piece counts, and is handed on first."""
@@ -63,7 +63,7 @@
         try:
             self._text += self._decode(data)
         except UnicodeDecodeError as bad:
-            self._text += bad.object[:bad.start].decode()
+            self._text += bad.object[: bad.start].decode()
             fault = BadList(f"no UTF-8: {bad}")
         try:
             while self._step(parts):
@@ -77,7 +77,7 @@
     def _begin(self, parts: list) -> bool:
         """Up to the first row. Between objects there are but line ends: empty lines say that nothing changed."""
         text = self._text.lstrip()
-        self.lines += "\n" in self._text[:len(self._text) - len(text)]
+        self.lines += "\n" in self._text[: len(self._text) - len(text)]
         self._text = text
         if not text:
             return False
@@ -89,7 +89,7 @@
             if end:
                 raise BadList(f"no list of hosts: {text[:60]!r}")
             return False
-        self._head, self._text = text[:found.end()], text[found.end():]
+        self._head, self._text = text[: found.end()], text[found.end() :]
         if len(self._head) > MOST_REST:
             raise BadList("a line that is too long before its rows")
         try:
@@ -113,7 +113,7 @@
                     return True
                 row, end = self._decoded(text, MOST_ROW, at)
                 if not end or end == len(text) and not isinstance(row, dict):
-                    return False   # a number may go on
+                    return False  # a number may go on
                 rows.append(row)
                 at = end
         finally:
@@ -126,7 +126,7 @@
         told, end = self._decoded(self._head + self._text, len(self._head) + MOST_REST)
         if not end:
             return False
-        self._text = self._text[end - len(self._head):]
+        self._text = self._text[end - len(self._head) :]
         version = told.get("seq", 0)
         if not isinstance(version, int) or isinstance(version, bool):
             raise BadList("seq is no whole number")
@@ -148,9 +148,14 @@
         try:
             return _DECODER.raw_decode(text, at)
         except json.JSONDecodeError as bad:
-            rest = text[bad.pos:].strip()
-            half = (bad.msg.startswith("Unterminated") or any(word.startswith(rest) for word in _WORDS)
-                    or _NUMBER.fullmatch(rest) or "escape" in bad.msg and len(text) - bad.pos < 8)
+            rest = text[bad.pos :].strip()
+            half = (
+                bad.msg.startswith("Unterminated")
+                or any(word.startswith(rest) for word in _WORDS)
+                or _NUMBER.fullmatch(rest)
+                or "escape" in bad.msg
+                and len(text) - bad.pos < 8
+            )
             if not half or "control" in bad.msg or len(text) - at > most or _EMPTY.search(text, at):
                 raise BadList(f"what cannot be read: {text[at:at + 60]!r}") from None
             return None, 0
--- a/linkdock/protocol/notices.py
+++ b/linkdock/protocol/notices.py
@@ -24,25 +24,24 @@
 
 # Danger: a connection that fell silent. A message may be given up as late as a call's time before its
 # deadline, and is lost 0.3 s after that: the next try, over a new connection, must still make it.
-ANSWER = 0.15       # seconds for one reply, which is due at once
-PAUSE = 0.02        # first pause after a failure; it doubles
-MOST_PAUSE = 0.1    # Danger: what is owed meanwhile waits for its end, and for a reply that may not come besides
+ANSWER = 0.15  # seconds for one reply, which is due at once
+PAUSE = 0.02  # first pause after a failure; it doubles
+MOST_PAUSE = 0.1  # Danger: what is owed meanwhile waits for its end, and for a reply that may not come besides
 MOST_BODY = 48 * 1024
-MOST = 1024         # notices in one post
+MOST = 1024  # notices in one post
 
 
 class Notices:
     """Owner of the notices that the platform has not confirmed. They are posted until it has."""
 
-    def __init__(self, dial: tuple[str, int], wheel: Wheel, pause: Callable,
-                 confirmed: Callable[[str], None]) -> None:
+    def __init__(self, dial: tuple[str, int], wheel: Wheel, pause: Callable, confirmed: Callable[[str], None]) -> None:
         self._dial, self._wheel, self._pause, self._confirmed = dial, wheel, pause, confirmed
         self._owed: dict[str, bytes] = {}
         self._stream: IOStream | None = None
-        self._behind: asyncio.Future | None = None   # the read that waits for what comes behind the last reply
+        self._behind: asyncio.Future | None = None  # the read that waits for what comes behind the last reply
         self._news = asyncio.Event()
-        self.observer: Observer | None = None   # of the records, where they are on
-        self._most = MOST   # halved by each 400, so that one bad notice cannot hold up the rest for long
+        self.observer: Observer | None = None  # of the records, where they are on
+        self._most = MOST  # halved by each 400, so that one bad notice cannot hold up the rest for long
 
     def __len__(self) -> int:
         return len(self._owed)
@@ -56,7 +55,7 @@
         while True:
             if not self._owed:
                 self._news.clear()
-                await self._news.wait()   # without a deadline: it waits for this process alone
+                await self._news.wait()  # without a deadline: it waits for this process alone
             batch, size = [], 0
             for request, line in self._owed.items():
                 size += len(line)
@@ -83,7 +82,7 @@
             if status == 400 and len(batch) > 1:
                 self._most = len(batch) // 2
                 continue
-            if status == 400 and batch[0] == doubted:   # twice: the first may have been cut on its way
+            if status == 400 and batch[0] == doubted:  # twice: the first may have been cut on its way
                 log.error("notices: the platform cannot read %r", self._owed[doubted])
                 self._end(doubted)
             doubted = batch[0] if status == 400 else ""
@@ -133,7 +132,7 @@
     def move(self, dial: tuple[str, int]) -> None:
         """The platform has another address. What it has not confirmed is posted there, at worst once more."""
         self._dial = dial
-        self.close()   # a post that is out fails with it and is made again
+        self.close()  # a post that is out fails with it and is made again
 
     def close(self) -> None:
         if self._stream is not None:
--- a/linkdock/protocol/resp.py
+++ b/linkdock/protocol/resp.py
@@ -5,13 +5,13 @@
 from ..errors import LinkdockError
 from ..state.requests import Answer, Busy, Failed, Taken
 
-MOST_WORD = 64 * 1024      # bytes of one word, as of a body
-MOST_COMMAND = 65 * 1024   # and of all words of one command
+MOST_WORD = 64 * 1024  # bytes of one word, as of a body
+MOST_COMMAND = 65 * 1024  # and of all words of one command
 MOST_WORDS = 64
 MOST_LINE = 32
-MOST_EMPTY = 8              # commands without a word on end
-MOST_BEHIND = 8             # whole commands that may wait behind one that is being answered
-MOST_SKIP = 256 * 1024      # bytes of an oversize word that are passed over to reach the next command
+MOST_EMPTY = 8  # commands without a word on end
+MOST_BEHIND = 8  # whole commands that may wait behind one that is being answered
+MOST_SKIP = 256 * 1024  # bytes of an oversize word that are passed over to reach the next command
 
 
 class Malformed(LinkdockError, ValueError):
@@ -36,10 +36,10 @@
     def __init__(self) -> None:
         self._data = bytearray()
         self._at = 0
-        self._missing = 0            # words of the command being read
+        self._missing = 0  # words of the command being read
         self._words: list[bytes] = []
         self._size = 0
-        self._skip = 0               # bytes of an oversize word still to pass over
+        self._skip = 0  # bytes of an oversize word still to pass over
         self._oversize = False
 
     def feed(self, data: bytes) -> None:
@@ -78,7 +78,7 @@
         try:
             return self._next()
         finally:
-            del self._data[:self._at]
+            del self._data[: self._at]
             self._at = 0
 
     def _next(self) -> list[bytes] | None:
@@ -90,7 +90,7 @@
             if count > MOST_WORDS:
                 raise Malformed("too many words")
             empty += count <= 0
-            if empty > MOST_EMPTY:   # nobody else would get a turn
+            if empty > MOST_EMPTY:  # nobody else would get a turn
                 raise Malformed("nothing but empty commands")
             self._missing, self._words, self._size, self._oversize = max(count, 0), [], 0, False
         while self._missing:
@@ -106,10 +106,10 @@
                     if len(self._data) < end + 2:
                         self._at = mark
                         return None
-                    if self._data[end:end + 2] != b"\r\n":
+                    if self._data[end : end + 2] != b"\r\n":
                         raise Malformed("a word does not end where it should")
                     self._size += length
-                    self._words.append(bytes(self._data[self._at:end]))
+                    self._words.append(bytes(self._data[self._at : end]))
                     self._at = end + 2
                     self._missing -= 1
                     continue
@@ -128,20 +128,20 @@
                 return None
             self._missing -= 1
         if self._oversize:
-            return self._next()   # it has been said, and the next may be there
+            return self._next()  # it has been said, and the next may be there
         return self._words
 
     def _number(self, mark: bytes) -> int | None:
         end = self._data.find(b"\r\n", self._at, self._at + MOST_LINE)
-        start = bytes(self._data[self._at:self._at + 1])
+        start = bytes(self._data[self._at : self._at + 1])
         if start and start != mark:
             raise Malformed(f"expected {mark.decode()!r}")
         if end < 0:
             if len(self._data) - self._at >= MOST_LINE:
                 raise Malformed("a length without end")
             return None
-        digits = bytes(self._data[self._at + 1:end])
-        if not digits.removeprefix(b"-").isdigit():   # of bytes: 0 to 9 alone
+        digits = bytes(self._data[self._at + 1 : end])
+        if not digits.removeprefix(b"-").isdigit():  # of bytes: 0 to 9 alone
             raise Malformed("a length that is no number")
         self._at = end + 2
         return int(digits)
--- a/linkdock/records/__init__.py
+++ b/linkdock/records/__init__.py
@@ -14,8 +14,15 @@
     from .observer import Observer
 
 
-def open_observer(text: bytes, name: str, folder: Path, disk_bytes: int, classes: dict[str, dict],
-                  clock: Callable[[], float], later: Callable) -> Observer:
+def open_observer(
+    text: bytes,
+    name: str,
+    folder: Path,
+    disk_bytes: int,
+    classes: dict[str, dict],
+    clock: Callable[[], float],
+    later: Callable,
+) -> Observer:
     """The observer of one life, from the text of records.json. Raises OptionError, or OSError for its file.
 
     `classes` says of each whether it is `repeatable`, and its `deadline` in seconds.
@@ -26,5 +33,6 @@
         from .settings import read
     except ImportError as bad:
         from ..options import OptionError
+
         raise OptionError(f"records.json: needs the packages of requirements-console.txt: {bad}") from None
     return Observer(Recorder(read(text, folder, disk_bytes), folder, clock, later), name, classes)
--- a/linkdock/records/audit.py
+++ b/linkdock/records/audit.py
@@ -14,10 +14,10 @@
 from . import events as e
 from .reading import Event, Passed, Place
 
-AFTER = 0.3       # seconds after its time is up by which a message must be delivered or ended by a notice
-RESTART = 1.5     # and after a restart: no notice is overdue until so long after the sender is ready again
-DRAINED = 2.0     # seconds after which nothing new may go to a server that drains or is gone
-CUT_OFF = 0.1     # seconds of events that a kill may cut off a record
+AFTER = 0.3  # seconds after its time is up by which a message must be delivered or ended by a notice
+RESTART = 1.5  # and after a restart: no notice is overdue until so long after the sender is ready again
+DRAINED = 2.0  # seconds after which nothing new may go to a server that drains or is gone
+CUT_OFF = 0.1  # seconds of events that a kill may cut off a record
 MOST_FAULTS = 1000
 MOST_STORY = 400  # events of one message that are kept for its story
 
@@ -43,8 +43,14 @@
     place: Place
 
     def as_dict(self) -> dict:
-        return {"kind": self.kind, "sender": self.sender, "message": self.message, "text": self.text,
-                "file": self.place.file, "line": self.place.line}
+        return {
+            "kind": self.kind,
+            "sender": self.sender,
+            "message": self.message,
+            "text": self.text,
+            "file": self.place.file,
+            "line": self.place.line,
+        }
 
 
 @dataclass(slots=True)
@@ -55,12 +61,12 @@
     until: float
     place: Place
     taken: float
-    doubt: dict[int, str] = field(default_factory=dict)   # attempts that may run or have run: the server
+    doubt: dict[int, str] = field(default_factory=dict)  # attempts that may run or have run: the server
     over: str | None = None
     over_at: float = 0.0
     notice: float | None = None
     confirmed: float | None = None
-    lives: int = 0          # restarts that it went through
+    lives: int = 0  # restarts that it went through
 
 
 @dataclass(slots=True)
@@ -76,10 +82,10 @@
     ready_mono: float | None = None
     last: float = 0.0
     seq: int = 0
-    missing: int = 0        # events that are not in the record, by its own count
+    missing: int = 0  # events that are not in the record, by its own count
     stopping: float | None = None
     stopped: bool = False
-    clean: bool = True      # whether nothing is missing in this life so far
+    clean: bool = True  # whether nothing is missing in this life so far
     open: dict[str, _Message] = field(default_factory=dict)
     restored: set[str] = field(default_factory=set)
     ended: dict[str, tuple[str, float]] = field(default_factory=dict)
@@ -93,7 +99,7 @@
 
     def __init__(self, story: str | None = None) -> None:
         self._senders: dict[str, _Sender] = {}
-        self._names: dict[str, str] = {}     # life: the sender's name
+        self._names: dict[str, str] = {}  # life: the sender's name
         self._faults: list[Fault] = []
         self._more: Counter[str] = Counter()
         self._counts: Counter[str] = Counter()
@@ -123,8 +129,11 @@
             sender.missing += event.seq - sender.seq - 1
             sender.clean = False
         sender.seq, sender.last = event.seq or sender.seq, max(sender.last, event.unix)
-        if self._story is not None and len(self._told) < MOST_STORY and (
-                event.fields.get("id") == self._story or self._story in event.fields.get("ids", ())):
+        if (
+            self._story is not None
+            and len(self._told) < MOST_STORY
+            and (event.fields.get("id") == self._story or self._story in event.fields.get("ids", ()))
+        ):
             self._told.append((sender.name, event))
         taker = getattr(self, f"_on_{event.name}", None)
         if taker is not None:
@@ -166,8 +175,13 @@
         if request in sender.ended:
             how, at = sender.ended[request]
             if not (how in ("undeliverable", "deferred") and told["notice"] is not None):
-                self._fault(REVIVED, sender, request, f"ended as {how} {event.unix - at:.3f} s before the start "
-                            "that owes it again", event.place)
+                self._fault(
+                    REVIVED,
+                    sender,
+                    request,
+                    f"ended as {how} {event.unix - at:.3f} s before the start " "that owes it again",
+                    event.place,
+                )
             return
         known = sender.open.get(request)
         if known is None:
@@ -183,8 +197,9 @@
             if not message.lives:
                 sender.open[request] = message
             elif sender.stopped and sender.clean:
-                self._fault(NOT_RESTORED, sender, request, "open at an orderly stop and not owed after it",
-                            message.place)
+                self._fault(
+                    NOT_RESTORED, sender, request, "open at an orderly stop and not owed after it", message.place
+                )
             else:
                 # Its end was on the journal and fell into what the kill cut off the record.
                 self._by_sender[sender.name]["ended unseen"] += 1
@@ -213,24 +228,45 @@
         message = sender.open.get(request)
         if message is None:
             if request in sender.ended:
-                self._fault(TWO_ENDS, sender, request, f"attempt {attempt} to {server} after it had ended as "
-                            f"{sender.ended[request][0]}", event.place)
+                self._fault(
+                    TWO_ENDS,
+                    sender,
+                    request,
+                    f"attempt {attempt} to {server} after it had ended as " f"{sender.ended[request][0]}",
+                    event.place,
+                )
             elif sender.clean:
                 self._fault(UNKNOWN_SENT, sender, request, f"attempt {attempt} to {server}", event.place)
             return
         doubt = [n for n in message.doubt if n != attempt]
         if doubt and not sender.repeatable.get(message.cls, True):
-            self._fault(REPEAT, sender, request, f"attempt {attempt} to {server} while attempt {doubt[0]} to "
-                        f"{message.doubt[doubt[0]]} may have run ({message.cls})", event.place)
+            self._fault(
+                REPEAT,
+                sender,
+                request,
+                f"attempt {attempt} to {server} while attempt {doubt[0]} to "
+                f"{message.doubt[doubt[0]]} may have run ({message.cls})",
+                event.place,
+            )
         message.doubt[attempt] = server
         until = sender.waits.get(sender.routes.get(server, (server,)), 0.0)
         if event.mono < until:
-            self._fault(IN_WAIT, sender, request, f"attempt {attempt} to {server}, {until - event.mono:.3f} s before "
-                        "the wait that it told was over", event.place)
+            self._fault(
+                IN_WAIT,
+                sender,
+                request,
+                f"attempt {attempt} to {server}, {until - event.mono:.3f} s before " "the wait that it told was over",
+                event.place,
+            )
         if server in sender.shut and event.mono > sender.shut[server][1] + DRAINED:
             health, at = sender.shut[server]
-            self._fault(TO_DRAINED, sender, request, f"attempt {attempt} to {server}, {event.mono - at:.3f} s after "
-                        f"it was told to be {health}", event.place)
+            self._fault(
+                TO_DRAINED,
+                sender,
+                request,
+                f"attempt {attempt} to {server}, {event.mono - at:.3f} s after " f"it was told to be {health}",
+                event.place,
+            )
 
     def _on_outcome(self, sender: _Sender, event: Event, told: dict) -> None:
         self._by_sender[sender.name][f"outcome {told['how']}"] += 1
@@ -255,8 +291,13 @@
         message = sender.open.get(request)
         if message is None:
             if request in sender.ended and sender.ended[request][0] != "unseen":
-                self._fault(TWO_ENDS, sender, request, f"ended as {how} after it had ended as "
-                            f"{sender.ended[request][0]}", event.place)
+                self._fault(
+                    TWO_ENDS,
+                    sender,
+                    request,
+                    f"ended as {how} after it had ended as " f"{sender.ended[request][0]}",
+                    event.place,
+                )
             return
         if message.over is not None:
             self._fault(TWO_ENDS, sender, request, f"ended as {how} after {message.over}", event.place)
@@ -266,8 +307,13 @@
         message.over, message.over_at = how, event.unix
         if how in ("delivered", "void", "withdrawn"):
             if how == "delivered" and message.notice is None and event.unix > message.until:
-                self._fault(LATE_END, sender, request, f"held to be delivered {event.unix - message.until:.3f} s after "
-                            "its time, and nobody was told", event.place)
+                self._fault(
+                    LATE_END,
+                    sender,
+                    request,
+                    f"held to be delivered {event.unix - message.until:.3f} s after " "its time, and nobody was told",
+                    event.place,
+                )
             self._closed(sender, request, how, event.unix)
 
     def _on_notice(self, sender: _Sender, event: Event, told: dict) -> None:
@@ -289,9 +335,14 @@
         restarting = sender.stopping is not None or sender.ready is None
         if message.lives and (restarting or at <= sender.ready + RESTART) or restarting:
             return
-        self._fault(LATE_END, sender, request,
-                    f"its notice was confirmed {late + AFTER:.3f} s after its time; it was owed "
-                    + (f"{message.notice - message.until:+.3f} s from it" if message.notice else "before"), place)
+        self._fault(
+            LATE_END,
+            sender,
+            request,
+            f"its notice was confirmed {late + AFTER:.3f} s after its time; it was owed "
+            + (f"{message.notice - message.until:+.3f} s from it" if message.notice else "before"),
+            place,
+        )
 
     def _closed(self, sender: _Sender, request: str, how: str, at: float) -> None:
         del sender.open[request]
@@ -319,26 +370,41 @@
         for sender in self._senders.values():
             for request, message in sender.open.items():
                 overdue = sender.last - message.until - AFTER
-                restarting = sender.ready is None or sender.stopping is not None or (
-                    message.lives and sender.last <= sender.ready + RESTART)
+                restarting = (
+                    sender.ready is None
+                    or sender.stopping is not None
+                    or (message.lives and sender.last <= sender.ready + RESTART)
+                )
                 if overdue <= CUT_OFF or restarting:
                     self._by_sender[sender.name]["open at the end"] += 1
                 elif message.over is not None:
-                    self._fault(UNSAID, sender, request, f"ended as {message.over}, and the platform had not confirmed "
-                                f"it {overdue + AFTER:.3f} s after its time", message.place)
+                    self._fault(
+                        UNSAID,
+                        sender,
+                        request,
+                        f"ended as {message.over}, and the platform had not confirmed "
+                        f"it {overdue + AFTER:.3f} s after its time",
+                        message.place,
+                    )
                 elif sender.missing:
                     self._by_sender[sender.name]["unknown: events are missing"] += 1
                 else:
-                    self._fault(NO_END, sender, request, f"its time was up {overdue + AFTER:.3f} s before the record "
-                                "ends", message.place)
+                    self._fault(
+                        NO_END,
+                        sender,
+                        request,
+                        f"its time was up {overdue + AFTER:.3f} s before the record " "ends",
+                        message.place,
+                    )
 
     def report(self, passed: Passed) -> dict:
         """What was found, as plain values."""
         faults = sorted(self._faults, key=lambda f: (f.kind, f.sender, f.place))
         return {
-            "senders": {name: {"lives": s.lives, "missing": s.missing,
-                               **dict(sorted(self._by_sender[name].items()))}
-                        for name, s in sorted(self._senders.items())},
+            "senders": {
+                name: {"lives": s.lives, "missing": s.missing, **dict(sorted(self._by_sender[name].items()))}
+                for name, s in sorted(self._senders.items())
+            },
             "ends": dict(sorted(self._left.items())),
             "faults": dict(sorted(self._counts.items())),
             "found": [f.as_dict() for f in faults],
@@ -349,14 +415,29 @@
 
     def story(self) -> list[dict]:
         """The events of the message that was asked for, in order."""
-        return [{"sender": name, "life": v.life, "unix": v.unix, "mono": v.mono, "event": v.name, **v.fields,
-                 "file": v.place.file, "line": v.place.line} for name, v in self._told]
+        return [
+            {
+                "sender": name,
+                "life": v.life,
+                "unix": v.unix,
+                "mono": v.mono,
+                "event": v.name,
+                **v.fields,
+                "file": v.place.file,
+                "line": v.place.line,
+            }
+            for name, v in self._told
+        ]
 
 
 def _bucket(left: float) -> str:
     """How long before its time a message ended, in words that sort."""
-    for most, text in ((-0.3, "over 0.3 s late"), (0.0, "late"), (0.3, "in its last 0.3 s"),
-                       (1.0, "in its last second")):
+    for most, text in (
+        (-0.3, "over 0.3 s late"),
+        (0.0, "late"),
+        (0.3, "in its last 0.3 s"),
+        (1.0, "in its last second"),
+    ):
         if left < most:
             return text
     return "earlier"
--- a/linkdock/records/observer.py
+++ b/linkdock/records/observer.py
@@ -16,7 +16,7 @@
 from . import events as e
 from .recorder import Recorder
 
-MOST_NAMED = 100   # rows of one change of the server table, or ids of one post
+MOST_NAMED = 100  # rows of one change of the server table, or ids of one post
 
 
 class Observer:
@@ -49,14 +49,23 @@
         self._note(e.JOINED, client=client, peer=peer, held=held)
 
     def left(self, client: int, why: str, taken: int, commands: int, age: float, idle: float) -> None:
-        self._note(e.LEFT, client=client, why=why, taken=taken, commands=commands,
-                   age=round(age, 3), idle=round(idle, 3))
+        self._note(
+            e.LEFT, client=client, why=why, taken=taken, commands=commands, age=round(age, 3), idle=round(idle, 3)
+        )
 
     # --- A message.
 
     def handed_in(self, request: Request, cls: str, left: float, again: bool, held: bool) -> None:
-        self._note(e.HANDED_IN, id=request.id, client=request.client, cls=cls, dest=request.destination, left=left,
-                   again=again, held=held)
+        self._note(
+            e.HANDED_IN,
+            id=request.id,
+            client=request.client,
+            cls=cls,
+            dest=request.destination,
+            left=left,
+            again=again,
+            held=held,
+        )
 
     def refused(self, request: str, cls: str, destination: int, why: str) -> None:
         self._note(e.REFUSED, id=request, cls=cls, dest=destination, why=why)
@@ -64,18 +73,33 @@
     def answered(self, request: Request, said: object, heard: bool, until: float, again: bool = False) -> None:
         """`until` is Unix time; `again` where the id was known and nothing new was begun."""
         said = {Taken: "taken", Busy: "busy"}.get(type(said), "failed")
-        self._note(e.ANSWERED, id=request.id, client=request.client, answer=said, cls=self._names[request.cls],
-                   dest=request.destination, until=round(until, 4), heard=heard, again=again)
+        self._note(
+            e.ANSWERED,
+            id=request.id,
+            client=request.client,
+            answer=said,
+            cls=self._names[request.cls],
+            dest=request.destination,
+            until=round(until, 4),
+            heard=heard,
+            again=again,
+        )
 
     def restored(self, kept: Kept) -> None:
-        self._note(e.RESTORED, id=kept.id, cls=kept.cls, dest=kept.destination, until=round(kept.until, 4),
-                   used=kept.used, doubt=sorted(kept.doubt),
-                   notice=None if kept.notice is None else kept.notice["status"])
+        self._note(
+            e.RESTORED,
+            id=kept.id,
+            cls=kept.cls,
+            dest=kept.destination,
+            until=round(kept.until, 4),
+            used=kept.used,
+            doubt=sorted(kept.doubt),
+            notice=None if kept.notice is None else kept.notice["status"],
+        )
 
     def dispatched(self, server: str, items: Iterable[Item]) -> None:
         for item in items:
-            self._note(e.DISPATCHED, id=item.request, attempt=item.attempt, server=server,
-                       limit=round(item.limit, 4))
+            self._note(e.DISPATCHED, id=item.request, attempt=item.attempt, server=server, limit=round(item.limit, 4))
 
     def sent(self, server: str, item: Item) -> None:
         self._note(e.SENT, id=item.request, attempt=item.attempt, server=server)
@@ -89,12 +113,21 @@
     def wait(self, server: str, route: Iterable[object], seconds: float) -> None:
         self._note(e.WAIT, server=server, route=list(route), seconds=seconds)
 
-    def outcome(self, server: str, item: Item, how: str, elapsed: float, wait: float, over: bool,
-                read: str) -> None:
+    def outcome(self, server: str, item: Item, how: str, elapsed: float, wait: float, over: bool, read: str) -> None:
         """`read` is what came back, in a few words; `ran` is what that proves."""
         ran = e.YES if how == DELIVERED else e.NEVER if how in NEVER_RAN else e.MAYBE
-        self._note(e.OUTCOME, id=item.request, attempt=item.attempt, server=server, how=how, ran=ran,
-                   elapsed=round(elapsed, 4), wait=wait, over=over, read=read)
+        self._note(
+            e.OUTCOME,
+            id=item.request,
+            attempt=item.attempt,
+            server=server,
+            how=how,
+            ran=ran,
+            elapsed=round(elapsed, 4),
+            wait=wait,
+            over=over,
+            read=read,
+        )
 
     def delivered_late(self, request: str) -> None:
         self._note(e.LATE, id=request)
--- a/linkdock/records/reading.py
+++ b/linkdock/records/reading.py
@@ -16,8 +16,8 @@
 from ..errors import LinkdockError
 from .events import FORMAT, STARTED
 
-MOST_LINE = 1 << 20   # bytes; a longer one is no event of ours
-MOST_NAMED = 20       # lines that could not be read and are named one by one
+MOST_LINE = 1 << 20  # bytes; a longer one is no event of ours
+MOST_NAMED = 20  # lines that could not be read and are named one by one
 
 
 class ReadError(LinkdockError, ValueError):
@@ -100,7 +100,7 @@
                 return
             whole = raw.endswith(b"\n")
             if long:
-                long = not whole   # the rest of a line that was passed over
+                long = not whole  # the rest of a line that was passed over
                 continue
             number += 1
             place = Place(str(path), number)
--- a/linkdock/records/recorder.py
+++ b/linkdock/records/recorder.py
@@ -22,9 +22,9 @@
 
 log = logging.getLogger(__name__)
 
-DELAY = 0.02    # seconds from an event to its line, at most while the loop has turns to give
-SLICE = 100     # events a turn: some 2 ms
-AGAIN = 1.0     # seconds after a failed write until the next
+DELAY = 0.02  # seconds from an event to its line, at most while the loop has turns to give
+SLICE = 100  # events a turn: some 2 ms
+AGAIN = 1.0  # seconds after a failed write until the next
 
 
 class _Sink:
@@ -42,13 +42,13 @@
 
     def __init__(self, path: Path, most: int, count: int) -> None:
         self._path, self._count, self._most_part = path, count, most // count
-        self.heading: Callable[[], bytes] = bytes   # begins each part, so that it can be read by itself
+        self.heading: Callable[[], bytes] = bytes  # begins each part, so that it can be read by itself
         self._file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         self._size = os.fstat(self._file).st_size
         if self._size and os.pread(self._file, 1, self._size - 1) != b"\n":
             # Danger: a line torn by a kill would take this life's first one with it.
             self._size += os.write(self._file, b"\n")
-        self._written = 0   # lines of the append that is under way
+        self._written = 0  # lines of the append that is under way
 
     def append(self, lines: list[bytes]) -> tuple[int, OSError | None]:
         """Append whole lines: how many are not in the file, and why not."""
@@ -56,7 +56,7 @@
         try:
             for line in lines:
                 if len(line) > self._most_part // 2:
-                    lost += 1   # it would leave no room for others
+                    lost += 1  # it would leave no room for others
                     continue
                 if self._size + size + len(line) > self._most_part:
                     done, chunk, size = chunk, [line], len(line)
@@ -104,7 +104,7 @@
     def append(self, lines: list[bytes]) -> tuple[int, OSError | None]:
         data = b"".join(lines)
         while data:
-            data = data[os.write(2, data):]
+            data = data[os.write(2, data) :]
         return 0, None
 
     def close(self) -> None:
@@ -114,19 +114,29 @@
 class Recorder:
     """Owner of the events not written yet and of their file. One for each process."""
 
-    def __init__(self, settings: RecordsSettings, state: Path, clock: Callable[[], float],
-                 later: Callable[[float, Callable[[], None]], object]) -> None:
+    def __init__(
+        self,
+        settings: RecordsSettings,
+        state: Path,
+        clock: Callable[[], float],
+        later: Callable[[float, Callable[[], None]], object],
+    ) -> None:
         self._clock, self._later, self._most = clock, later, settings.most_held
         self._held: deque[tuple[float, float, str, dict]] = deque()
         self._waiting = False
         self._lost, self._seq, self._failing = 0, 0, False
         self._life = secrets.token_hex(4)
-        self._out = StandardError() if settings.file == "-" else Parts(
-            state / settings.file, int(settings.most_mb * 1e6), settings.parts)
+        self._out = (
+            StandardError()
+            if settings.file == "-"
+            else Parts(state / settings.file, int(settings.most_mb * 1e6), settings.parts)
+        )
         self._sink = _Sink()
         self._log = structlog.wrap_logger(
-            self._sink, processors=[structlog.processors.JSONRenderer(json.dumps, separators=(",", ":"))],
-            wrapper_class=structlog.BoundLogger)
+            self._sink,
+            processors=[structlog.processors.JSONRenderer(json.dumps, separators=(",", ":"))],
+            wrapper_class=structlog.BoundLogger,
+        )
 
     def begin(self, facts: dict) -> None:
         """A life begins: `facts` head this file and every later part of it."""
@@ -151,8 +161,9 @@
 
     def _render(self, mono: float, unix: float, event: str, fields: dict, counted: bool = True) -> None:
         self._seq += counted
-        self._log.msg(event, seq=self._seq if counted else 0, life=self._life, mono=round(mono, 4),
-                      unix=round(unix, 4), **fields)
+        self._log.msg(
+            event, seq=self._seq if counted else 0, life=self._life, mono=round(mono, 4), unix=round(unix, 4), **fields
+        )
 
     def _write(self) -> None:
         """Render and append one slice; go on at the loop's next turn if there is more."""
--- a/linkdock/sender/books.py
+++ b/linkdock/sender/books.py
@@ -39,13 +39,14 @@
 class Books:
     """One for each sender, made by whoever starts it, who also sets what is on."""
 
-    def __init__(self, rules: Rules, clock: Callable[[], float], facade: Facade, journal: Journal,
-                 table: ServerTable) -> None:
+    def __init__(
+        self, rules: Rules, clock: Callable[[], float], facade: Facade, journal: Journal, table: ServerTable
+    ) -> None:
         self.rules, self.clock, self.facade, self.journal, self.table = rules, clock, facade, journal, table
         self.requests = Requests(rules.settings.max_open)
-        self.observer: Observer | None = None             # of the records, where they are on
-        self.undeliverable: Undeliverable | None = None   # the store, where it is on
-        self.figures: Figures | None = None               # where there are operators
+        self.observer: Observer | None = None  # of the records, where they are on
+        self.undeliverable: Undeliverable | None = None  # the store, where it is on
+        self.figures: Figures | None = None  # where there are operators
         self.notices: Notices
 
     def tenant(self, name: str) -> int:
--- a/linkdock/sender/desk.py
+++ b/linkdock/sender/desk.py
@@ -40,7 +40,7 @@
 
 log = logging.getLogger(__name__)
 
-NO_LIST = 1.0   # seconds after which to come again to a sender that has no list yet
+NO_LIST = 1.0  # seconds after which to come again to a sender that has no list yet
 
 
 class Beside(Protocol):
@@ -60,19 +60,20 @@
         self._b, self._spawn = books, spawn
         self._ends = Ends(books)
         self._lives = Lives(books, self._ends)
-        self._asking: dict[str, Request] = {}      # not answered yet
+        self._asking: dict[str, Request] = {}  # not answered yet
         self._calls: dict[tuple[str, int], Call] = {}
-        self._unsafe_until: float | None = None    # set while stopping
-        self._left = 0                             # requests left for the next life
-        self.spread: Callable[[float], float] | None = None   # of times to come back, where the gate is on
-        self.duty: Duty | None = None              # whether clients are taken, where there are operators
-        self.beside: Beside | None = None          # where another process of this sender may live
+        self._unsafe_until: float | None = None  # set while stopping
+        self._left = 0  # requests left for the next life
+        self.spread: Callable[[float], float] | None = None  # of times to come back, where the gate is on
+        self.duty: Duty | None = None  # whether clients are taken, where there are operators
+        self.beside: Beside | None = None  # where another process of this sender may live
         self.backend: Backend
 
     # --- What comes in.
 
-    def ask(self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool,
-            early: bool = False) -> None:
+    def ask(
+        self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool, early: bool = False
+    ) -> None:
         """A front hands in a request, which is answered at the next tick at the latest.
 
         `early`: it may have lain in the socket until this process had started, however late it is read.
@@ -86,8 +87,9 @@
             self._b.observer.refused(request.id, cls, destination, str(why))
             raise
 
-    def _ask(self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool,
-             early: bool) -> None:
+    def _ask(
+        self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool, early: bool
+    ) -> None:
         if cls not in self._b.rules.classes:
             raise Refused("unknown class")
         unknown = not self._b.table.knows(destination)
@@ -96,7 +98,7 @@
         if request.tenant not in self._b.rules.tenants:
             if request.tenant and self._b.rules.tenants:
                 raise Refused("unknown tenant")
-            request.tenant = ""   # nobody's, or of no interest here: nothing is kept of it
+            request.tenant = ""  # nobody's, or of no interest here: nothing is kept of it
         if left > 2 * self._b.rules.settings.classes[self._b.rules.classes[cls]].deadline:
             raise Refused("d is beyond the deadline of its class")
         if early:
@@ -127,8 +129,9 @@
             return
         self._b.requests.add(request)
         self._asking[request.id] = request
-        self._b.facade.report(Take(request.id, request.cls, destination, left, key, again, held,
-                                  tenant=self._b.tenant(request.tenant)))
+        self._b.facade.report(
+            Take(request.id, request.cls, destination, left, key, again, held, tenant=self._b.tenant(request.tenant))
+        )
 
     def _no_room(self, destination: int) -> Busy:
         """Turned away for want of room here, whatever the destination could do."""
@@ -156,8 +159,11 @@
 
     def doubted(self, servers: dict[str, float]) -> None:
         """Another process of this sender has seen these fail since then: they are met as from an outage."""
-        rows = [row._replace(out_since=since) for name, since in servers.items()
-                if (row := self._b.table.row(name)) is not None]
+        rows = [
+            row._replace(out_since=since)
+            for name, since in servers.items()
+            if (row := self._b.table.row(name)) is not None
+        ]
         if rows:
             self._b.facade.report(Table("changes", self._b.table.shown(rows), self._b.table.version))
 
@@ -169,8 +175,9 @@
         self.backend.pool.retire(name)
         row = self._b.table.row(name)
         if row is not None:
-            self._b.facade.report(Table("changes", self._b.table.shown([row._replace(out_since=out_since)]),
-                                      self._b.table.version))
+            self._b.facade.report(
+                Table("changes", self._b.table.shown([row._replace(out_since=out_since)]), self._b.table.version)
+            )
 
     # --- From life to life.
 
@@ -250,9 +257,16 @@
             self._say(request, Busy(final.wait) if isinstance(final, Deny) else Failed("not delivered"))
             return
         left = request.until - self._b.clock()
-        kept = Kept(request.id, request.key, self._b.rules.class_names[request.cls], request.destination,
-                    time.time() + left, request.body, idempotency_key=request.idempotency_key,
-                    tenant=request.tenant)
+        kept = Kept(
+            request.id,
+            request.key,
+            self._b.rules.class_names[request.cls],
+            request.destination,
+            time.time() + left,
+            request.body,
+            idempotency_key=request.idempotency_key,
+            tenant=request.tenant,
+        )
         if not self._b.journal.take(kept):
             self._b.requests.remove(request.id)
             self._b.facade.report(Withdraw(request.id))
@@ -279,8 +293,10 @@
         if not self._b.rules.settings.second_copies:
             # A call is given up whole: one that is let go of while the call lasts could go out a second time.
             longest = max((item.limit for item in items), default=0.0)
-            items = [item._replace(limit=min(longest, request.until - now))
-                     for item, request in zip(items, requests, strict=True)]
+            items = [
+                item._replace(limit=min(longest, request.until - now))
+                for item, request in zip(items, requests, strict=True)
+            ]
         if items:
             call = Call(self.backend, Dispatch(order.server, items), requests)
             self._calls.update(((item.request, item.attempt), call) for item in items)
@@ -323,15 +339,25 @@
     def _window_over(self, request: Request, now: float) -> bool:
         """Danger: a repeat that was decided on in time; its connection came up after the receiver forgot the first."""
         rules = self._b.rules.settings.classes[request.cls]
-        return (rules.effect is Effect.KEYED and bool(request.sent)
-                and now > min(request.sent.values()) + rules.window)
+        return rules.effect is Effect.KEYED and bool(request.sent) and now > min(request.sent.values()) + rules.window
 
     def repeatable(self, request: Request) -> bool:
         return self._b.rules.repeatable(request.cls)
 
-    def ended(self, server: str, item: Item, how: str, elapsed: float, wait: float = 0.0,
-              load: tuple[float, float] | None = None, over: bool = False, owed: bool = False,
-              due: float = inf, read: str = "", tried: bool = True) -> None:
+    def ended(
+        self,
+        server: str,
+        item: Item,
+        how: str,
+        elapsed: float,
+        wait: float = 0.0,
+        load: tuple[float, float] | None = None,
+        over: bool = False,
+        owed: bool = False,
+        due: float = inf,
+        read: str = "",
+        tried: bool = True,
+    ) -> None:
         """A dispatch has its outcome: on record what matters for the next life, then for the decisions."""
         self._calls.pop((item.request, item.attempt), None)
         if self._b.observer is not None:
@@ -377,4 +403,5 @@
         """While stopping: whether anything is left that this life can still bring to its end."""
         late = self._unsafe_until is not None and self._b.clock() >= self._unsafe_until
         return bool(self._calls or self._b.notices) or any(
-            not late or self._b.rules.repeatable(request.cls) for request in self._b.requests)
+            not late or self._b.rules.repeatable(request.cls) for request in self._b.requests
+        )
--- a/linkdock/sender/ends.py
+++ b/linkdock/sender/ends.py
@@ -6,9 +6,9 @@
 
 from .books import Books
 
-WAITED = 0.4   # seconds that a client waits for its answer: so much of a message's time may be gone when it is read
-MOST_REMEMBERED = 4096   # ended requests that are remembered
-ENDS = {"delivered": "fulfilled", "deferred": "throttled"}   # how the operators' figures call an end; else faulted
+WAITED = 0.4  # seconds that a client waits for its answer: so much of a message's time may be gone when it is read
+MOST_REMEMBERED = 4096  # ended requests that are remembered
+ENDS = {"delivered": "fulfilled", "deferred": "throttled"}  # how the operators' figures call an end; else faulted
 
 
 class Ends:
@@ -16,7 +16,7 @@
 
     def __init__(self, books: Books) -> None:
         self._b = books
-        self._over: dict[str, None] = {}   # those that ended last, in order
+        self._over: dict[str, None] = {}  # those that ended last, in order
 
     def remembered(self, request: str) -> bool:
         """Whether it has ended already. Danger: a second message under its id, at whatever time."""
@@ -62,7 +62,7 @@
     def over_again(self, request: str, delivered: bool) -> None:
         """The end of one that was sent again: the store hears it, nobody else."""
         kept = self._b.journal.kept.get(request)
-        self._b.journal.end(request)   # it is held until the store has it
+        self._b.journal.end(request)  # it is held until the store has it
         if kept is not None:
             self._b.undeliverable.over(kept, delivered)
 
--- a/linkdock/sender/lives.py
+++ b/linkdock/sender/lives.py
@@ -50,8 +50,7 @@
             cls = b.rules.classes.get(kept.cls)
             if cls is None:
                 log.warning("%s of the class %r, which is not configured, ends undelivered", kept.id, kept.cls)
-            if (cls is None or kept.doubt and not b.rules.repeatable(cls)
-                    or kept.tries >= b.rules.settings.max_attempts):
+            if cls is None or kept.doubt and not b.rules.repeatable(cls) or kept.tries >= b.rules.settings.max_attempts:
                 # It may have run and may not be repeated, or has no try left: nobody can do more, so that it ends now.
                 if again:
                     self._ends.over_again(kept.id, False)
@@ -65,18 +64,37 @@
                 continue
             # Danger: a clock that was set back. No client is given more than the front lets it ask for.
             rest = min(max(0.0, kept.until - unix), longest)
-            request = Request(kept.id, kept.key, cls, kept.destination, now + rest, kept.body,
-                              tenant=kept.tenant, idempotency_key=kept.idempotency_key)
+            request = Request(
+                kept.id,
+                kept.key,
+                cls,
+                kept.destination,
+                now + rest,
+                kept.body,
+                tenant=kept.tenant,
+                idempotency_key=kept.idempotency_key,
+            )
             try:
                 order = b.order_key(request)
-            except Refused as why:   # its class did not go in order when it was taken on
+            except Refused as why:  # its class did not go in order when it was taken on
                 log.warning("%s goes in no order: %s", kept.id, why)
                 order = 0
             b.requests.add(request)
             if b.figures is not None:
                 b.figures.came += 1
-            b.facade.report(Take(kept.id, cls, kept.destination, rest, order, held=True, used=kept.used,
-                                 tenant=b.tenant(kept.tenant), tries=kept.tries))
+            b.facade.report(
+                Take(
+                    kept.id,
+                    cls,
+                    kept.destination,
+                    rest,
+                    order,
+                    held=True,
+                    used=kept.used,
+                    tenant=b.tenant(kept.tenant),
+                    tries=kept.tries,
+                )
+            )
 
     def resend(self, message: Message) -> bool:
         """Take one that could not be delivered on again, as new work with a deadline of its own; False where it cannot.
@@ -91,8 +109,9 @@
         if cls is None or keyed or busy or not b.table.knows(message.destination) or b.requests.get(message.id):
             return False
         left = b.rules.settings.classes[cls].deadline
-        kept = Kept(message.id, message.key, message.cls, message.destination, time.time() + left, message.body,
-                    again=True)
+        kept = Kept(
+            message.id, message.key, message.cls, message.destination, time.time() + left, message.body, again=True
+        )
         request = Request(message.id, message.key, cls, message.destination, b.clock() + left, message.body)
         try:
             key = b.order_key(request)
@@ -117,4 +136,4 @@
             b.requests.remove(request)
             b.facade.report(Withdraw(request))
         if b.figures is not None:
-            b.figures.came -= len(waiting)   # the other counts them
+            b.figures.came -= len(waiting)  # the other counts them
--- a/linkdock/service/config.py
+++ b/linkdock/service/config.py
@@ -16,9 +16,9 @@
 log = logging.getLogger(__name__)
 
 _MISSING = object()
-MOST_NUMBER = 1e15   # of anything that is told: with any more it cannot be counted on
-MOST_TICK = 0.1      # seconds: a client waits 0.4 for its answer, whatever the bench's own ticks are
-OPERATORS = 32   # descriptors that neither clients nor calls can take from the operators' address
+MOST_NUMBER = 1e15  # of anything that is told: with any more it cannot be counted on
+MOST_TICK = 0.1  # seconds: a client waits 0.4 for its answer, whatever the bench's own ticks are
+OPERATORS = 32  # descriptors that neither clients nor calls can take from the operators' address
 EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
 
 
@@ -49,9 +49,9 @@
     kinds: list[str]
     tenant_names: list[str]
     fields: list[str]
-    admin: tuple[str, int] | None = None   # the operators' address
-    paid_news: bool = False                # discovery's news must be asked for, and each ask costs
-    accept_fd: int | None = None           # the clients' listening socket, where it is inherited
+    admin: tuple[str, int] | None = None  # the operators' address
+    paid_news: bool = False  # discovery's news must be asked for, and each ask costs
+    accept_fd: int | None = None  # the clients' listening socket, where it is inherited
 
     @property
     def classes(self) -> dict[str, int]:
@@ -76,7 +76,7 @@
         At 32 KB each, the others take a quarter of the memory at most.
         """
         usual = self.usual_clients
-        kept = 16 if self.admin is None else 16 + OPERATORS   # for the process itself
+        kept = 16 if self.admin is None else 16 + OPERATORS  # for the process itself
         return usual + max(4, min(usual - kept, int(self.memory_mb * 1e6 / 4) // 32_000))
 
     @property
@@ -114,7 +114,7 @@
         if value is _MISSING:
             raise ConfigError(f"{self.name(key)} is missing")
         if value is None and default is not _MISSING:
-            value = default   # null says as little as a missing key
+            value = default  # null says as little as a missing key
         if value is default:
             return value
         fits = isinstance(value, (int, float) if kind is float else kind)
@@ -163,8 +163,14 @@
         return host, int(port)
 
 
-_KINDS = {float: "a number", int: "a whole number", str: "a string", bool: "true or false", list: "a list",
-          dict: "an object"}
+_KINDS = {
+    float: "a number",
+    int: "a whole number",
+    str: "a string",
+    bool: "true or false",
+    list: "a list",
+    dict: "an object",
+}
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
@@ -224,16 +230,24 @@
     except ValueError:
         raise ConfigError(f"seed must be hexadecimal, not {seed!r:.60}") from None
     return Config(
-        name=top.get("name", str), listen=top.address("listen"), discovery=top.address("discovery"),
-        state=state, seed=number, memory_mb=limits.number("memory_mb", 192.0, 32.0),
-        sockets=limits.count("sockets", 1024, 64), disk_mb=limits.number("disk_mb", 3.0, 0.01),
-        known=_known(told.get("known")), settings=_settings(settings),
+        name=top.get("name", str),
+        listen=top.address("listen"),
+        discovery=top.address("discovery"),
+        state=state,
+        seed=number,
+        memory_mb=limits.number("memory_mb", 192.0, 32.0),
+        sockets=limits.count("sockets", 1024, 64),
+        disk_mb=limits.number("disk_mb", 3.0, 0.01),
+        known=_known(told.get("known")),
+        settings=_settings(settings),
         class_names=[c.get("name", str) for c in settings.parts("grades")],
-        zones=settings.get("zones", list, []), kinds=settings.get("machine-types", list, []),
+        zones=settings.get("zones", list, []),
+        kinds=settings.get("machine-types", list, []),
         tenant_names=[p.get("name", str) for p in settings.parts("projects", [])],
         fields=settings.part("report", {}).get("fields", list, []),
         admin=top.address("admin_addr") if top.has("admin_addr") else None,
-        paid_news=settings.get("discovery", str, "") == "subscribe")
+        paid_news=settings.get("discovery", str, "") == "subscribe",
+    )
 
 
 def _known(told: object) -> dict:
@@ -247,12 +261,19 @@
 def _settings(told: _Reader) -> Settings:
     limits, extra, rules = told.part("limits"), told.part("extra"), told.part("rules")
     tariffs = told.part("tariffs", {})
-    classes = [MessageClass(
-        effect=g.choice("idempotency", EFFECTS), aim=g.number("aim", least=0.001),
-        deadline=g.number("hard-limit", least=0.001),
-        worth=g.number("importance", 1.0), late_share=g.number("late-share", 0.0),
-        in_order=g.get("keep-order", bool, False), window=g.number("window", 0.0),
-        group=g.choice("group", {name: name for name in GROUPS}, "all")) for g in told.parts("grades")]
+    classes = [
+        MessageClass(
+            effect=g.choice("idempotency", EFFECTS),
+            aim=g.number("aim", least=0.001),
+            deadline=g.number("hard-limit", least=0.001),
+            worth=g.number("importance", 1.0),
+            late_share=g.number("late-share", 0.0),
+            in_order=g.get("keep-order", bool, False),
+            window=g.number("window", 0.0),
+            group=g.choice("group", {name: name for name in GROUPS}, "all"),
+        )
+        for g in told.parts("grades")
+    ]
     if not classes:
         raise ConfigError(f"{told.name('grades')} must not be empty")
     names = [g.get("name", str) for g in told.parts("grades")]
@@ -262,31 +283,45 @@
     batch = extra.each("bundle-max", lambda one: type(one) is int and one >= 1, "a whole number of at least 1")
     fees = extra.each("zone-fee", lambda one: type(one) in (int, float) and abs(one) < MOST_NUMBER, "a number")
     count = max(len(apart), len(batch), len(told.get("machine-types", list, [])), 1)
-    kinds = [DestinationKind(bool(apart[k]) if k < len(apart) else False, batch[k] if k < len(batch) else 1)
-             for k in range(count)]
+    kinds = [
+        DestinationKind(bool(apart[k]) if k < len(apart) else False, batch[k] if k < len(batch) else 1)
+        for k in range(count)
+    ]
     weights, subscribe = told.get("weights", str, "silent"), told.get("discovery", str, "") == "subscribe"
     relays, me = told.count("balancers", 1, 1), told.count("me", 0)
     if me >= relays:
         raise ConfigError(f"{told.name('me')} must be below {told.name('balancers')}, not {me}")
     return Settings(
-        classes=classes, kinds=kinds, slots=extra.count("calls-out", least=1),
-        max_open=limits.count("max-open", least=1), max_attempts=limits.count("max-attempts", least=1),
-        relays=relays, me=me, tick=min(told.number("tick", 0.005, 0.001), MOST_TICK),
+        classes=classes,
+        kinds=kinds,
+        slots=extra.count("calls-out", least=1),
+        max_open=limits.count("max-open", least=1),
+        max_attempts=limits.count("max-attempts", least=1),
+        relays=relays,
+        me=me,
+        tick=min(told.number("tick", 0.005, 0.001), MOST_TICK),
         connect_timeout=limits.number("connect-timeout", 1.0, 0.01),
         idle_close=limits.number("idle-close", 5.0, 0.1),
         max_retry_after=limits.number("max-retry-after", 0.0),
-        retry_after=limits.get("retry-after", bool, False), cancel=limits.get("cancel", bool, False),
-        probes=False,   # no probe is spoken on sockets
+        retry_after=limits.get("retry-after", bool, False),
+        cancel=limits.get("cancel", bool, False),
+        probes=False,  # no probe is spoken on sockets
         second_copies=limits.get("second-copies", bool, False),
-        subscribe=False,   # the watch is this program's own, and asks by itself
+        subscribe=False,  # the watch is this program's own, and asks by itself
         ask_within=rules.number("ask-within", 10.0, 0.1) if subscribe else 10.0,
-        halves=extra.get("loses-worth", str, "even") == "by_half", rough_weights=weights != "nominal",
+        halves=extra.get("loses-worth", str, "even") == "by_half",
+        rough_weights=weights != "nominal",
         told_weights=weights in ("nominal", "rough"),
         tenant_quota=[p.number("quota-per-s", 0.0) for p in told.parts("projects", [])],
         over_share_worth=told.number("over-share-worth", 1.0),
         zone_fee=[float(fee) for fee in fees],
-        handshake_price=tariffs.number("handshake", 0.0), refusal_price=extra.number("refusal-cost", 0.0),
-        drain_grace=rules.number("drain-grace", 0.0), fall_multiple=rules.number("fall-multiple", 1.0, 0.01),
-        tip_after=rules.number("tip-after", 1.0, 0.01), cold_share=rules.number("cold-share", 1.0),
-        cold_time=rules.number("cold", 0.0), order_rest=rules.number("settle-after-doubt", 0.0),
-        answer_slack=rules.number("answer-slack", 0.0))
+        handshake_price=tariffs.number("handshake", 0.0),
+        refusal_price=extra.number("refusal-cost", 0.0),
+        drain_grace=rules.number("drain-grace", 0.0),
+        fall_multiple=rules.number("fall-multiple", 1.0, 0.01),
+        tip_after=rules.number("tip-after", 1.0, 0.01),
+        cold_share=rules.number("cold-share", 1.0),
+        cold_time=rules.number("cold", 0.0),
+        order_rest=rules.number("settle-after-doubt", 0.0),
+        answer_slack=rules.number("answer-slack", 0.0),
+    )
--- a/linkdock/service/operations.py
+++ b/linkdock/service/operations.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-FILE = "rotation"     # in RELAY_STATE
+FILE = "rotation"  # in RELAY_STATE
 
 
 class Operations:
@@ -88,8 +88,12 @@
 
     def stats(self) -> list[str]:
         avoided = {name for name in (*self.rotation, *self._facade.stopped()) if self._listed(name)}
-        return render(self.figures, open_requests=self._sender.open(), registry_entries=len(self._table.roster),
-                      out_of_rotation=len(avoided))
+        return render(
+            self.figures,
+            open_requests=self._sender.open(),
+            registry_entries=len(self._table.roster),
+            out_of_rotation=len(avoided),
+        )
 
     def maint_on(self, name: str) -> str:
         if not self._listed(name) and name not in self.rotation:
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -37,17 +37,17 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_MARGIN = 0.75      # seconds before the other side's idle-close at which a connection is retired
-ACCEPT_FOR = 0.5        # seconds after SIGTERM in which new connections may still come: up to 0.4
-NO_UNSAFE_AFTER = 1.7   # seconds after SIGTERM from which what may not be repeated is not started
-TIDY_EVERY = 5.0        # seconds between looks for what the server table may forget
-LOOK_EVERY = 0.05       # seconds between looks whether it could leave before:
-SIBLING_EVERY = 0.05    # and between looks for the sender's other processes
-FIRST_NEWS = 0.2        # seconds after the start for which decisions wait for the agent's first answer
-MOST_IDLE = 1.0         # seconds without a beat at the most
-LEAVE_FLEET = 2.0       # seconds more, at the most, to hand over what the fleet's processes share
-LEAVE_AFTER = 3.4       # seconds after SIGTERM; SIGKILL comes 3.7 after it at the earliest
-LAST_ANSWERS = 0.1      # seconds before that in which what was handed in is answered, and no more is read
+IDLE_MARGIN = 0.75  # seconds before the other side's idle-close at which a connection is retired
+ACCEPT_FOR = 0.5  # seconds after SIGTERM in which new connections may still come: up to 0.4
+NO_UNSAFE_AFTER = 1.7  # seconds after SIGTERM from which what may not be repeated is not started
+TIDY_EVERY = 5.0  # seconds between looks for what the server table may forget
+LOOK_EVERY = 0.05  # seconds between looks whether it could leave before:
+SIBLING_EVERY = 0.05  # and between looks for the sender's other processes
+FIRST_NEWS = 0.2  # seconds after the start for which decisions wait for the agent's first answer
+MOST_IDLE = 1.0  # seconds without a beat at the most
+LEAVE_FLEET = 2.0  # seconds more, at the most, to hand over what the fleet's processes share
+LEAVE_AFTER = 3.4  # seconds after SIGTERM; SIGKILL comes 3.7 after it at the earliest
+LAST_ANSWERS = 0.1  # seconds before that in which what was handed in is answered, and no more is read
 
 
 class Process:
@@ -58,23 +58,25 @@
         self._tasks: set[asyncio.Task] = set()
         self._failed: BaseException | None = None
         self._stopping = self._ended = False
-        self._relieved = False   # while stopping: whether another process of this sender takes clients
+        self._relieved = False  # while stopping: whether another process of this sender takes clients
         self._stop = asyncio.Event()
-        self._due, self._hold = self._loop.time(), 0.0   # of the next beat; the latest that one came
-        self._next: asyncio.TimerHandle | None = None    # none in the middle of one, and before the first
+        self._due, self._hold = self._loop.time(), 0.0  # of the next beat; the latest that one came
+        self._next: asyncio.TimerHandle | None = None  # none in the middle of one, and before the first
         settings, clock = config.settings, self._loop.time
         self._config = config
         self._wheel = Wheel(settings.tick, clock(), clock, self._beat_at)
         try:
             self._shift = self._succeed(config)
-            self._journal = (Journal(config.state, int(config.disk_mb * 1e6)) if self._shift is None
-                             else self._shift.journal)
+            self._journal = (
+                Journal(config.state, int(config.disk_mb * 1e6)) if self._shift is None else self._shift.journal
+            )
         except OSError as bad:
             raise ConfigError(f"RELAY_STATE: {bad}") from None
         table = self._table = ServerTable((kind.apart for kind in settings.kinds), clock)
         self._dormancy = switched.dormancy(config, table, clock)
-        facade = self._facade = Facade(settings, config.seed,
-                                       None if self._dormancy is None else self._dormancy.sleeper)
+        facade = self._facade = Facade(
+            settings, config.seed, None if self._dormancy is None else self._dormancy.sleeper
+        )
         facade.wake = self._soon
         self._operations = self._operators(config, facade, table)
         if config.known:
@@ -85,21 +87,29 @@
                 log.warning("known: %s; the start goes on without it", log_line(bad))
             else:
                 table.update(servers, version)
-                table.told = bool(servers)   # Danger: an empty one says nothing of what there is
+                table.told = bool(servers)  # Danger: an empty one says nothing of what there is
                 facade.report(Table("kept", table.shown(servers), version))
         books = Books(config, clock, facade, self._journal, table)
         self.sender = Sender(books, self.spawn)
         idle_for = max(settings.idle_close - IDLE_MARGIN, settings.idle_close / 2)
         kept = switched.kept_pool(config, table, self._wheel, self.spawn, clock, idle_for)
         self._pool = ConnectionPool(self._wheel, idle_for, config.most_backends) if kept is None else kept
-        self.sender.backend = Backend(self.sender, table, self._pool, self._wheel, clock,
-                                      settings.connect_timeout, config.fields)
+        self.sender.backend = Backend(
+            self.sender, table, self._pool, self._wheel, clock, settings.connect_timeout, config.fields
+        )
         self.sender.backend.kept = kept
-        self._notices = books.notices = Notices(config.discovery, self._wheel, self._wheel.pause,
-                                                self.sender.confirmed)
+        self._notices = books.notices = Notices(config.discovery, self._wheel, self._wheel.pause, self.sender.confirmed)
         asking = Asking(config.paid_news, settings.relays, settings.ask_within, config.seed, not len(table.roster))
-        self._watch = Watch(config.discovery, self._wheel, asking, config.zones, config.kinds,
-                            lambda: table.version, self.sender, config.most_list)
+        self._watch = Watch(
+            config.discovery,
+            self._wheel,
+            asking,
+            config.zones,
+            config.kinds,
+            lambda: table.version,
+            self.sender,
+            config.most_list,
+        )
         self._observer = switched.observer(config, self._loop)
         for part in (books, self.sender.backend, self._notices):
             part.observer = self._observer
@@ -110,7 +120,7 @@
             self._shift.join(self.sender, facade, table, self._operations)
         self.sender.restore()
         if self._shift is not None:
-            self._look()   # Danger: what is taken up from now on must not be restored once more
+            self._look()  # Danger: what is taken up from now on must not be restored once more
         if self._undeliverable is not None:
             self._undeliverable.start(self.sender.resend)
         self.spawn(self._notices.run())
@@ -121,8 +131,16 @@
         self._clients = switched.clients(config, self._wheel, self.sender.overloaded)
         gate = None if self._clients is None else self._clients.gate
         try:
-            self.frontend = Frontend(self.sender, self._listening(config), self._wheel, self.spawn, config.most_clients,
-                                     config.usual_clients, config.most_held, gate)
+            self.frontend = Frontend(
+                self.sender,
+                self._listening(config),
+                self._wheel,
+                self.spawn,
+                config.most_clients,
+                config.usual_clients,
+                config.most_held,
+                gate,
+            )
         except OSError as bad:
             raise ConfigError(f"{'listen' if config.accept_fd is None else 'RELAY_ACCEPT_FD'}: {bad}") from None
         if self._shift is not None:
@@ -134,9 +152,9 @@
                 self._operations.open(self.frontend, self._wheel, self.spawn)
             except OSError as bad:
                 raise ConfigError(f"admin_addr: {bad}") from None
-        self.node = switched.node(config, self._loop)   # of the fleet's processes; nothing here waits for it
+        self.node = switched.node(config, self._loop)  # of the fleet's processes; nothing here waits for it
         self._leaving: asyncio.Task | None = None
-        self._due = self._loop.time()   # what came before was the start
+        self._due = self._loop.time()  # what came before was the start
         # Danger: where lists are pushed, what the agent has counts as told from a process's first moment. What is owed
         # would go to a server that has drained since the known list was written.
         self._blind_until = self._due if config.paid_news else self._due + FIRST_NEWS
@@ -156,6 +174,7 @@
         if config.accept_fd is not None and switched_on("undeliverable") is not None:
             raise ConfigError("RELAY_ACCEPT_FD: undeliverable.json cannot be on where two processes share a folder")
         from .shift import Shift
+
         return Shift(config, asyncio.get_running_loop().time)
 
     @staticmethod
@@ -171,7 +190,7 @@
     def _share(self, beside: bool) -> None:
         """Another process of this sender has come or gone: the descriptors are for both together."""
         told = self._config
-        if self._clients is None:   # else they are shared out by what is measured
+        if self._clients is None:  # else they are shared out by what is measured
             self.frontend.hold_at_most(told.usual_clients if beside else told.most_clients)
         self._pool.hold_at_most(max(told.settings.slots, told.sockets // 8) if beside else told.most_backends)
 
@@ -180,6 +199,7 @@
         if config.admin is None:
             return None
         from .operations import Operations
+
         return Operations(config, self._loop.time, facade, table)
 
     def _parts(self, parts: Parts) -> None:
@@ -223,7 +243,7 @@
             self._stop.set()
         due = min(self._blind_until if blind else self._facade.next_due(), self._wheel.next_due())
         if self._shift is not None and self._shift.beside:
-            due = now   # what the other one tells comes at any time
+            due = now  # what the other one tells comes at any time
         if self._ended:
             return
         # Danger: beats without end: whatever is due, the next tick is the first to see to it. And none at all, by a
@@ -276,7 +296,7 @@
             self._relieved = self._shift.relieved()
             self._shift.leaving()
         if self._relieved:
-            self._stop_accepting()   # what comes from now on is the other's, who reads the same socket
+            self._stop_accepting()  # what comes from now on is the other's, who reads the same socket
         else:
             self._wheel.after(ACCEPT_FOR, self._stop_accepting)
         # Danger: a request that was handed in right before the end would hear nothing, and nobody would know of it.
@@ -293,7 +313,7 @@
 
     def _leave_when_done(self) -> None:
         if self._relieved:
-            self.sender.hand_over()   # what waits; also what has come to wait again
+            self.sender.hand_over()  # what waits; also what has come to wait again
         # Danger: a request that has just come on an idle connection, and an answer that its client has not read yet.
         if self.sender.finishing() or len(self.frontend):
             self._wheel.after(LOOK_EVERY, self._leave_when_done)
@@ -313,14 +333,14 @@
         self._ended = True
         if self._next is not None:
             self._next.cancel()
-            self._next = None   # Danger: what a cancelled call reports would ask for another one
+            self._next = None  # Danger: what a cancelled call reports would ask for another one
         self.frontend.close()
         if self._operations is not None:
             self._operations.close()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)   # calls still put proofs on record
+        await asyncio.gather(*tasks, return_exceptions=True)  # calls still put proofs on record
         self._leave_fleet()
         if self._leaving is not None:
             done, _ = await asyncio.wait([self._leaving], timeout=LEAVE_FLEET)
@@ -343,9 +363,8 @@
 
 def main() -> int:
     """Run one sender until it is told to stop."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)   # until there is something to reload
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO,
-                        format="%(asctime)s %(name)s %(levelname)s %(message)s")
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(name)s %(levelname)s %(message)s")
     try:
         return asyncio.run(_run(load()))
     except LinkdockError as bad:
--- a/linkdock/service/shift.py
+++ b/linkdock/service/shift.py
@@ -47,7 +47,7 @@
         self._state = notes.STARTING
         self._handed, self._batches = False, 0
         self._learned_from: int | None = None
-        self.share: Callable[[bool], None] = lambda alive: None   # to be called when another comes or goes
+        self.share: Callable[[bool], None] = lambda alive: None  # to be called when another comes or goes
         self._sender: Sender
         self._facade: Facade
         self._table: ServerTable | None = None
@@ -56,8 +56,11 @@
         alive, left = self._succession.look()
         self._meet(alive)
         self._take_up([*left, *self._succession.alone()])
-        log.info("process %d of this sender%s", self._succession.number,
-                 f", beside {', '.join(map(str, self._others))}" if self._others else "")
+        log.info(
+            "process %d of this sender%s",
+            self._succession.number,
+            f", beside {', '.join(map(str, self._others))}" if self._others else "",
+        )
 
     def join(self, sender: Sender, facade: Facade, table: ServerTable, operations: Operations | None) -> None:
         """From now on facts go both ways; what the others know already comes first."""
@@ -71,12 +74,12 @@
     def look(self) -> None:
         """Every now and then: who has come, who has gone, and what the dead left."""
         if self._others and self._operations is not None:
-            self._operations.heard()   # until the end: what it still tries again must not go to what is out by hand
+            self._operations.heard()  # until the end: what it still tries again must not go to what is out by hand
         if self._handed:
-            return   # Danger: what was handed over would be taken up again
+            return  # Danger: what was handed over would be taken up again
         try:
             alive, left = self._succession.look()
-        except OSError as bad:   # no descriptor for the look: it is made again, and SIGTERM must go on without it
+        except OSError as bad:  # no descriptor for the look: it is made again, and SIGTERM must go on without it
             log.warning("who else lives is not known: %s", bad)
             return
         if alive != list(self._others) or None in self._others.values():
@@ -96,13 +99,13 @@
             log.info("process %d has ended", number)
             reader = self._others.pop(number)
             if reader is not None:
-                self._hear(number, reader)   # its last words
+                self._hear(number, reader)  # its last words
                 reader.close()
         for number in alive:
             if self._others.get(number) is None:
                 try:
                     self._others[number] = Reader(self._succession.board(number))
-                except OSError:   # it has just begun, and has none yet
+                except OSError:  # it has just begun, and has none yet
                     self._others[number] = None
                 else:
                     self._tell_again()
@@ -114,7 +117,7 @@
         """What dead processes owed is ours from now on. All of it is in our journal before any of their files goes."""
         fresh: dict[str, Kept] = {}
         try:
-            for one in left:   # the newest first: what it says of a message holds
+            for one in left:  # the newest first: what it says of a message holds
                 for name, kept in owed(one.journal).items():
                     if name not in self.journal.kept:
                         fresh.setdefault(name, kept)
@@ -212,14 +215,20 @@
     def _tell_again(self) -> None:
         """Somebody has come. Danger: many short waits may have pushed a long one out of the ring."""
         if self._table is None:
-            return   # this process has just come itself
+            return  # this process has just come itself
         for route, until in self._table.in_force(self._clock()):
             self._wait_told(route, until)
         path = self._succession.learned(self._succession.number)
         beside = path.with_name(f"{path.name}.new")
         try:
-            beside.write_text(json.dumps([one._replace(since=one.since if one.since != -inf else None)
-                                          for one in self._facade.learned(MOST_LEARNED)]))
+            beside.write_text(
+                json.dumps(
+                    [
+                        one._replace(since=one.since if one.since != -inf else None)
+                        for one in self._facade.learned(MOST_LEARNED)
+                    ]
+                )
+            )
             os.replace(beside, path)
         except OSError as bad:
             log.warning("what was learned is not told: %s", bad)
@@ -231,8 +240,10 @@
             return
         try:
             # Danger: a row of another version, which would only be found out in the middle of a tick.
-            rows = [Learned(str(name), float(limit), float(part), *(None if at is None else float(at) for at in times))
-                    for name, limit, part, *times in json.loads(self._succession.learned(older).read_bytes())]
+            rows = [
+                Learned(str(name), float(limit), float(part), *(None if at is None else float(at) for at in times))
+                for name, limit, part, *times in json.loads(self._succession.learned(older).read_bytes())
+            ]
             self._facade.told(rows)
         except FileNotFoundError:
             return
--- a/linkdock/service/switched.py
+++ b/linkdock/service/switched.py
@@ -41,53 +41,83 @@
         if text is None:
             return None
         from ..records import open_observer
-        classes = {name: {"repeatable": config.repeatable(n), "deadline": config.settings.classes[n].deadline}
-                   for n, name in enumerate(config.class_names)}
-        return open_observer(text, config.name, config.state, int(config.disk_mb * 1e6), classes, loop.time,
-                             loop.call_later)
+
+        classes = {
+            name: {"repeatable": config.repeatable(n), "deadline": config.settings.classes[n].deadline}
+            for n, name in enumerate(config.class_names)
+        }
+        return open_observer(
+            text, config.name, config.state, int(config.disk_mb * 1e6), classes, loop.time, loop.call_later
+        )
     except OSError as bad:
         raise ConfigError(str(bad)) from None
 
 
 def dormancy(config: Config, table: ServerTable, clock: Callable[[], float]) -> Dormancy | None:
     """What idle destinations are kept in."""
+
     def make(text: bytes) -> Dormancy:
         from ..dormancy.disk import Dormancy
+
         return Dormancy(text, config.state, int(config.disk_mb * 1e6), config.class_names, table, clock)
+
     return _subsystem("dormancy", make)
 
 
-def kept_pool(config: Config, table: ServerTable, wheel: Wheel, spawn: Callable, clock: Callable[[], float],
-              idle_for: float) -> KeptPool | None:
+def kept_pool(
+    config: Config, table: ServerTable, wheel: Wheel, spawn: Callable, clock: Callable[[], float], idle_for: float
+) -> KeptPool | None:
     """The pool that learns and opens ahead."""
+
     def make(text: bytes) -> KeptPool:
         from ..connections.choice import read
         from ..connections.kept import KeptPool
+
         told = config.settings
-        return KeptPool(read(text), wheel, spawn, lambda server: table.closed(server, clock()), config.most_backends,
-                        idle_for, told.connect_timeout, told.cold_share, told.cold_time, config.state)
+        return KeptPool(
+            read(text),
+            wheel,
+            spawn,
+            lambda server: table.closed(server, clock()),
+            config.most_backends,
+            idle_for,
+            told.connect_timeout,
+            told.cold_share,
+            told.cold_time,
+            config.state,
+        )
+
     return _subsystem("connections", make)
 
 
 def clients(config: Config, wheel: Wheel, overloaded: Callable[[], bool]) -> Clients | None:
     """The gate for clients and its file."""
+
     def make(text: bytes) -> Clients:
         from ..admission.clients import Clients
+
         return Clients(text, config.most_clients, config.sockets, config.state, wheel, overloaded)
+
     return _subsystem("admission", make)
 
 
 def store(config: Config, journal: Journal, loop: asyncio.AbstractEventLoop) -> Undeliverable | None:
     """The store of undeliverable messages."""
+
     def make(text: bytes) -> Undeliverable:
         from ..undeliverable.writer import Undeliverable
+
         return Undeliverable(text, config.state, journal, loop)
+
     return _subsystem("undeliverable", make)
 
 
 def node(config: Config, loop: asyncio.AbstractEventLoop) -> Node | None:
     """This process among those of its fleet."""
+
     def make(text: bytes) -> Node:
         from ..cluster.node import open_node
+
         return open_node(text, config, loop)
+
     return _subsystem("cluster", make)
--- a/linkdock/state/asking.py
+++ b/linkdock/state/asking.py
@@ -8,17 +8,17 @@
 
 from random import Random
 
-AGENT = 0.2         # seconds between asks of the agent
-PROMPT = 0.5        # and until it has begun to answer, which it does at once unless discovery is down
-MOST_PROMPT = 64    # asks on end that may go unanswered before one is given as long as any other:
-SILENCE = 2.8       # an empty line comes every 2 s; without any the watch is dead, whatever TCP thinks
-EACH = 0.08         # seconds that each sender adds to the span of the first asks: 40 over 2.5 s had 12 turned away
-FIRST = 1 / 8       # first pause after a refusal, in told periods; it doubles
-MOST = 1 / 2        # up to this, which by chance half to one and a half times stays inside the period
-REOPEN = 4.5        # seconds of the span at the most after a watch that broke: what it missed counts as told 6 s after
-                    # it fell silent and binds 2 s later; until it is opened anew 3 s go by besides
-NOTHING = 1.0       # seconds of the span at the most for one that has no list at all
-MOVED = 2.0         # seconds at the most after a change of address, of the 4 within which its news counts as told
+AGENT = 0.2  # seconds between asks of the agent
+PROMPT = 0.5  # and until it has begun to answer, which it does at once unless discovery is down
+MOST_PROMPT = 64  # asks on end that may go unanswered before one is given as long as any other:
+SILENCE = 2.8  # an empty line comes every 2 s; without any the watch is dead, whatever TCP thinks
+EACH = 0.08  # seconds that each sender adds to the span of the first asks: 40 over 2.5 s had 12 turned away
+FIRST = 1 / 8  # first pause after a refusal, in told periods; it doubles
+MOST = 1 / 2  # up to this, which by chance half to one and a half times stays inside the period
+REOPEN = 4.5  # seconds of the span at the most after a watch that broke: what it missed counts as told 6 s after
+# it fell silent and binds 2 s later; until it is opened anew 3 s go by besides
+NOTHING = 1.0  # seconds of the span at the most for one that has no list at all
+MOVED = 2.0  # seconds at the most after a change of address, of the 4 within which its news counts as told
 
 
 class Asking:
@@ -32,9 +32,9 @@
     def __init__(self, paid: bool, senders: int, within: float, seed: int, nothing: bool = False) -> None:
         """`paid`: each ask costs, and news must be asked for `within` so many seconds; `nothing`: no list is known."""
         self._paid, self._within, self._nothing = paid, within, nothing
-        self._random = Random(seed + 2)   # the decisions draw from the two before
+        self._random = Random(seed + 2)  # the decisions draw from the two before
         self._span = min(senders * EACH, MOST * within)
-        self._refused = 0   # on end
+        self._refused = 0  # on end
 
     def first(self) -> float:
         """Until the first ask of a life."""
--- a/linkdock/state/board.py
+++ b/linkdock/state/board.py
@@ -17,14 +17,14 @@
 from typing import NamedTuple
 
 VERSION = 0x6C64_0001
-HEAD = struct.Struct("<IIIIqq")      # version, calls out, open, state; facts in each ring
-SLOT = struct.Struct("<qdqB143s")    # serial from 1, a time, destination, length of the name, name
-PLACES = 128                         # of each ring
+HEAD = struct.Struct("<IIIIqq")  # version, calls out, open, state; facts in each ring
+SLOT = struct.Struct("<qdqB143s")  # serial from 1, a time, destination, length of the name, name
+PLACES = 128  # of each ring
 WAITS, HEALTH = 0, 1
-RINGS = 64                           # bytes before the first ring
+RINGS = 64  # bytes before the first ring
 MOST_NAME = 143
 STARTING, TAKING, LEAVING = 0, 1, 2
-SUSPECT, HEALTHY = 0, 1              # in the place of a destination, for facts of health, beside twice who saw it
+SUSPECT, HEALTHY = 0, 1  # in the place of a destination, for facts of health, beside twice who saw it
 
 
 class Fact(NamedTuple):
@@ -75,14 +75,13 @@
             return
         serial = self._written[fact.ring] + 1
         with contextlib.suppress(OSError):
-            os.pwrite(self._file, SLOT.pack(serial, fact.time, fact.number, len(name), name),
-                      _place(fact.ring, serial))
+            os.pwrite(self._file, SLOT.pack(serial, fact.time, fact.number, len(name), name), _place(fact.ring, serial))
         self._written[fact.ring] = serial
         self._head()
 
     def close(self) -> None:
         os.close(self._file)
-        self._file = -1   # Danger: the descriptor is soon another's, and figures would be written there
+        self._file = -1  # Danger: the descriptor is soon another's, and figures would be written there
 
 
 class Reader:
@@ -111,7 +110,7 @@
                 for serial in range(first, last + 1):
                     slot = os.pread(self._file, SLOT.size, _place(ring, serial))
                     number, time, destination, length, name = SLOT.unpack(slot)
-                    if number == serial:   # else it was written over meanwhile
+                    if number == serial:  # else it was written over meanwhile
                         facts.append(Fact(ring, time, destination, name[:length].decode()))
         except (OSError, struct.error, UnicodeDecodeError):
             pass
--- a/linkdock/state/duty.py
+++ b/linkdock/state/duty.py
@@ -10,9 +10,9 @@
 
 TAKING, EMPTYING, STOPPING = "taking clients", "standby", "stopping"
 
-LAG = 1.0     # seconds after `standby` in which what still comes is served; later it is denied
-FIRST = 1.0   # seconds that a new connection has for its first command meanwhile
-AGAIN = 1.0   # seconds after which one that is denied should come back, by then to another sender
+LAG = 1.0  # seconds after `standby` in which what still comes is served; later it is denied
+FIRST = 1.0  # seconds that a new connection has for its first command meanwhile
+AGAIN = 1.0  # seconds after which one that is denied should come back, by then to another sender
 
 
 class Duty:
--- a/linkdock/state/figures.py
+++ b/linkdock/state/figures.py
@@ -19,9 +19,9 @@
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes = list(classes)
         self._over = [dict.fromkeys(ENDS, 0) for _ in self.classes]
-        self.came = 0          # messages handed in, or held for by an earlier life
-        self.relayed = 0       # messages written whole to backend servers; a call with ten counts ten
-        self.accepted = self.invalid = 0   # configurations that SIGHUP brought
+        self.came = 0  # messages handed in, or held for by an earlier life
+        self.relayed = 0  # messages written whole to backend servers; a call with ten counts ten
+        self.accepted = self.invalid = 0  # configurations that SIGHUP brought
 
     def over(self, cls: int | None, end: str) -> None:
         """A message has ended. One of a class that the settings do not have any more counts with the first."""
--- a/linkdock/state/journal.py
+++ b/linkdock/state/journal.py
@@ -21,18 +21,18 @@
 log = logging.getLogger(__name__)
 
 TAKE, SENT, NEVER, NOTICE, END, MOVED = b"T", b"S", b"N", b"O", b"E", b"M"
-SPOILT = b""                    # no record: what is passed over
-MOST_MOVED = 900                # requests that one record may name: the longest ids fit into its head
-HEAD = struct.Struct("<IIcH")   # length and check sum of what follows, kind, length of the JSON head,
-HEAD_BEGINS = b'{"i'            # which begins with `id` or `in`
-MOST_NUMBER = 1 << 53           # of what stands in a record
-BLOCK = 512                     # the folder is counted in whole blocks
-FILE_PART = 0.55                # of the folder that the file may take; the rest is for its successor,
-NEARLY = 0.9                    # of that, from which it is as good as full
-LIVE_PART = 0.35                # which holds what is owed; a take beyond this is denied
-ROOM_TO_END = 0.1               # beside what is owed, which the file may take in any case
+SPOILT = b""  # no record: what is passed over
+MOST_MOVED = 900  # requests that one record may name: the longest ids fit into its head
+HEAD = struct.Struct("<IIcH")  # length and check sum of what follows, kind, length of the JSON head,
+HEAD_BEGINS = b'{"i'  # which begins with `id` or `in`
+MOST_NUMBER = 1 << 53  # of what stands in a record
+BLOCK = 512  # the folder is counted in whole blocks
+FILE_PART = 0.55  # of the folder that the file may take; the rest is for its successor,
+NEARLY = 0.9  # of that, from which it is as good as full
+LIVE_PART = 0.35  # which holds what is owed; a take beyond this is denied
+ROOM_TO_END = 0.1  # beside what is owed, which the file may take in any case
 MOST_RECORD = 1 << 20
-CLOSED = -1                     # in place of the descriptor, once it is let go of
+CLOSED = -1  # in place of the descriptor, once it is let go of
 
 
 @dataclass(slots=True)
@@ -43,13 +43,13 @@
     key: str
     cls: str
     destination: int
-    until: float   # Unix time
+    until: float  # Unix time
     body: bytes
-    used: int = 0    # dispatches, by the number of the last
-    tries: int = 0   # and those that went out: a call counts once it has come to its server
+    used: int = 0  # dispatches, by the number of the last
+    tries: int = 0  # and those that went out: a call counts once it has come to its server
     doubt: set[int] = field(default_factory=set)
     notice: dict | None = None
-    again: bool = False   # sent again from the store of undeliverable messages
+    again: bool = False  # sent again from the store of undeliverable messages
     idempotency_key: str = ""
     tenant: str = ""
 
@@ -70,9 +70,9 @@
         whole, end = HEAD.size - 8 <= length <= MOST_RECORD, at + 8 + length
         if whole and end > len(data):
             return
-        if whole and zlib.crc32(data[at + 8:end]) == check:
+        if whole and zlib.crc32(data[at + 8 : end]) == check:
             body = at + HEAD.size + head_size
-            yield end, kind, data[at + HEAD.size:min(body, end)], data[body:end]
+            yield end, kind, data[at + HEAD.size : min(body, end)], data[body:end]
             at = end
         else:
             fits = whole and (end == len(data) or data.startswith(HEAD_BEGINS, end + HEAD.size))
@@ -93,7 +93,7 @@
             head = json.loads(text)
             if kind != MOVED:
                 apply(kept, kind, head, body)
-            elif not (path.parent / head["in"]).exists():   # else the kill came before its file was in its place
+            elif not (path.parent / head["in"]).exists():  # else the kill came before its file was in its place
                 for request in head["ids"]:
                     kept.pop(request, None)
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as bad:
@@ -109,13 +109,16 @@
 def _whole(head: dict, body: bytes) -> Kept:
     """Raises ValueError or TypeError for a record that no version with this shape of records has written."""
     doubt = head.pop("doubt", [])
-    head.setdefault("tries", head.get("used", 0))   # older versions counted no tries
+    head.setdefault("tries", head.get("used", 0))  # older versions counted no tries
     kept = Kept(**head, body=body, doubt=set(doubt))
     numbers = (kept.destination, kept.used, kept.tries, *doubt)
-    if not (all(isinstance(word, str) for word in (
-            kept.id, kept.key, kept.cls, kept.tenant, kept.idempotency_key)) and all(map(_number, numbers))
-            and type(kept.until) in (int, float) and abs(kept.until) < MOST_NUMBER
-            and (kept.notice is None or _notice(kept.id, kept.notice))):
+    if not (
+        all(isinstance(word, str) for word in (kept.id, kept.key, kept.cls, kept.tenant, kept.idempotency_key))
+        and all(map(_number, numbers))
+        and type(kept.until) in (int, float)
+        and abs(kept.until) < MOST_NUMBER
+        and (kept.notice is None or _notice(kept.id, kept.notice))
+    ):
         raise ValueError("a message with values out of range")
     return kept
 
@@ -176,7 +179,7 @@
         self._disk_bytes = disk_bytes
         self.hold_at_most(FILE_PART, LIVE_PART)
         self.kept: dict[str, Kept] = {}
-        self._holds: dict[str, bool] = {}   # what is not to be let go of yet: whether its end has come
+        self._holds: dict[str, bool] = {}  # what is not to be let go of yet: whether its end has come
         self._live, self._torn = 0, False
         # A rewrite that the end of the process cut short: the old file still holds everything.
         self._next.unlink(missing_ok=True)
@@ -209,15 +212,23 @@
         return struct.pack("<II", len(rest), zlib.crc32(rest)) + rest
 
     def _take_record(self, kept: Kept) -> bytes:
-        head = {"id": kept.id, "key": kept.key, "cls": kept.cls, "destination": kept.destination,
-                "until": kept.until, "used": kept.used, "tries": kept.tries, "doubt": sorted(kept.doubt)}
+        head = {
+            "id": kept.id,
+            "key": kept.key,
+            "cls": kept.cls,
+            "destination": kept.destination,
+            "until": kept.until,
+            "used": kept.used,
+            "tries": kept.tries,
+            "doubt": sorted(kept.doubt),
+        }
         if kept.again:
             head["again"] = True
         for name in ("idempotency_key", "tenant"):
             if value := getattr(kept, name):
                 head[name] = value
         if kept.notice is not None and kept.id not in self._holds:
-            return self._record(TAKE, {**head, "notice": kept.notice})   # its body is not needed any more
+            return self._record(TAKE, {**head, "notice": kept.notice})  # its body is not needed any more
         if kept.notice is not None:
             head["notice"] = kept.notice
         return self._record(TAKE, head, kept.body)
@@ -238,7 +249,7 @@
             self._torn = True
             if os.write(self._file, data) < len(data):
                 raise OSError("short write")
-        except OSError as bad:   # a full folder, or one that can only be read
+        except OSError as bad:  # a full folder, or one that can only be read
             log.error("journal: %s", bad)
             return False
         self._torn = False
@@ -273,8 +284,11 @@
     def take(self, kept: Kept) -> bool:
         """Keep a request; False where there is no room, or its id is owed already, and it must be denied."""
         # Danger: an id whose notice is still owed. What ends with the notice would be the second one's record.
-        if (kept.id in self.kept or self._live + kept.size() > self._most_live
-                or not self._append(self._take_record(kept))):
+        if (
+            kept.id in self.kept
+            or self._live + kept.size() > self._most_live
+            or not self._append(self._take_record(kept))
+        ):
             return False
         self.kept[kept.id] = kept
         self._live += kept.size()
@@ -318,7 +332,7 @@
             os.replace(beside, path)
         except OSError as bad:
             log.error("journal: nothing is handed over: %s", bad)
-            return False   # `beside` stays, so that the record does not count
+            return False  # `beside` stays, so that the record does not count
         for request in requests:
             self._live -= self.kept.pop(request).size()
         return True
@@ -327,7 +341,7 @@
         if head["id"] not in self.kept:
             return False
         done = self._append(self._record(kind, head))
-        if done or kind in (NOTICE, END):   # an end that could not be written is at worst told again
+        if done or kind in (NOTICE, END):  # an end that could not be written is at worst told again
             self._live += apply(self.kept, kind, head, b"")
         return done
 
--- a/linkdock/state/requests.py
+++ b/linkdock/state/requests.py
@@ -19,6 +19,7 @@
 
 # What the `answer` of a request is told, once.
 
+
 class Taken(NamedTuple):
     """The sender owes the request its end from now on; `known` where it did already and nothing is begun."""
 
@@ -53,13 +54,13 @@
     destination: int
     until: float
     body: bytes
-    alone: bool = False   # whether it must not share a call any more
-    ordered: bool = False   # whether others of its key wait until its calls are over
+    alone: bool = False  # whether it must not share a call any more
+    ordered: bool = False  # whether others of its key wait until its calls are over
     answer: Callable[[Answer], bool] | None = None
-    tenant: str = ""      # whose share it counts against, where the settings name tenants
-    idempotency_key: str = ""   # by which a server drops repeats, where its client named one
-    client: int = 0       # the number of the connection that it came on, for the record
-    sent: dict[int, float] = field(default_factory=dict)   # attempts that may have run: when each went out
+    tenant: str = ""  # whose share it counts against, where the settings name tenants
+    idempotency_key: str = ""  # by which a server drops repeats, where its client named one
+    client: int = 0  # the number of the connection that it came on, for the record
+    sent: dict[int, float] = field(default_factory=dict)  # attempts that may have run: when each went out
 
 
 class Requests:
--- a/linkdock/state/roster.py
+++ b/linkdock/state/roster.py
@@ -16,13 +16,13 @@
 
 from ..facade import Server
 
-CELL = 16          # bytes for a name; a longer one is kept apart
-PARTS = 1024       # of an index
-LEAST_PART = 8     # places in one
-BITS = 10          # rows of one block of a column, as a power of two
+CELL = 16  # bytes for a name; a longer one is kept apart
+PARTS = 1024  # of an index
+LEAST_PART = 8  # places in one
+BITS = 10  # rows of one block of a column, as a power of two
 BLOCK = 1 << BITS
 HEALTH = ("ready", "draining", "gone")
-SEED = 0x9E3779B97F4A7C15   # spreads consecutive numbers over the parts
+SEED = 0x9E3779B97F4A7C15  # spreads consecutive numbers over the parts
 _FREE, _LEFT = -1, -2
 _ADDRESS = struct.Struct("!I")
 _CELL = struct.Struct("<QQ")
@@ -66,7 +66,7 @@
     def __init__(self, hash_of: Callable[[int], int], same: Callable[[int, object], bool]) -> None:
         self._hash_of, self._same = hash_of, same
         self._parts: list[array | None] = [None] * PARTS
-        self._used = array("i", bytes(4 * PARTS))   # places in use in each part, those left included
+        self._used = array("i", bytes(4 * PARTS))  # places in use in each part, those left included
 
     def find(self, hashed: int, key: object) -> int:
         """The row, or -1."""
@@ -127,18 +127,29 @@
     """Owner of the rows. The order of a destination's rows is that in which they were told first."""
 
     def __init__(self) -> None:
-        self._names, self._long = (Column("Q"), Column("Q")), {}   # the two halves of a cell
+        self._names, self._long = (Column("Q"), Column("Q")), {}  # the two halves of a cell
         self._ips, self._ports, self._texts = Column("I"), Column("H"), {}
         self._destinations, self._next = Column("q"), Column("i")
         self._health, self._kinds, self._zones = Column("B"), Column("H"), Column("H")
         self._shares, self._born = Column("f"), Column("d")
-        self._columns = (*self._names, self._ips, self._ports, self._destinations, self._next, self._health,
-                         self._kinds, self._zones, self._shares, self._born)
-        self._rows = 0   # places so far, free ones included
+        self._columns = (
+            *self._names,
+            self._ips,
+            self._ports,
+            self._destinations,
+            self._next,
+            self._health,
+            self._kinds,
+            self._zones,
+            self._shares,
+            self._born,
+        )
+        self._rows = 0  # places so far, free ones included
         self._free: list[int] = []
         self._by_name = Index(lambda row: self._hash(self._name(row)), self._is_named)
-        self._by_destination = Index(lambda row: self._spread(self._destinations[row]),
-                                     lambda row, key: self._destinations[row] == key)
+        self._by_destination = Index(
+            lambda row: self._spread(self._destinations[row]), lambda row, key: self._destinations[row] == key
+        )
         self._partners: dict[int, int] = {}
         self._count = 0
 
@@ -147,8 +158,13 @@
 
     def size(self) -> int:
         """Bytes that it takes, nearly."""
-        return (sum(column.size() for column in self._columns) + self._by_name.size() + self._by_destination.size()
-                + 200 * (len(self._long) + len(self._texts)) + 8 * len(self._free))
+        return (
+            sum(column.size() for column in self._columns)
+            + self._by_name.size()
+            + self._by_destination.size()
+            + 200 * (len(self._long) + len(self._texts))
+            + 8 * len(self._free)
+        )
 
     # --- Keys.
 
@@ -177,7 +193,7 @@
         hashed = self._hash(server.name)
         row = self._by_name.find(hashed, server.name)
         if row >= 0 and self._destinations[row] != server.destination:
-            self.remove(server.name)   # it has moved to another destination
+            self.remove(server.name)  # it has moved to another destination
             row = -1
         if row < 0:
             row = self._add(server, hashed)
@@ -254,9 +270,16 @@
         address = self._texts.get(row)
         if address is None:
             address = socket.inet_ntoa(_ADDRESS.pack(self._ips[row]))
-        return Server(self._name(row), (address, self._ports[row]), self._destinations[row],
-                      HEALTH[self._health[row]], self._kinds[row], self._zones[row], self._shares[row],
-                      self._born[row])
+        return Server(
+            self._name(row),
+            (address, self._ports[row]),
+            self._destinations[row],
+            HEALTH[self._health[row]],
+            self._kinds[row],
+            self._zones[row],
+            self._shares[row],
+            self._born[row],
+        )
 
     def row(self, name: str) -> Server | None:
         row = self._by_name.find(self._hash(name), name)
--- a/linkdock/state/rotation.py
+++ b/linkdock/state/rotation.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 MOST_OUT = 1000
-KEPT_FOR = 24 * 3600.0   # seconds without being listed after which an id is forgotten
+KEPT_FOR = 24 * 3600.0  # seconds without being listed after which an id is forgotten
 VERSION = 1
 
 
@@ -44,8 +44,8 @@
 
     def __init__(self, path: Path, clock: Callable[[], float]) -> None:
         self._path, self._clock = path, clock
-        self._out: dict[str, float] = {}    # since when each is out,
-        self._seen: dict[str, float] = {}   # and when it was last known to be listed, for this process
+        self._out: dict[str, float] = {}  # since when each is out,
+        self._seen: dict[str, float] = {}  # and when it was last known to be listed, for this process
         self._read_of: tuple = ()
         self.read()
 
@@ -69,7 +69,7 @@
             if mark == self._read_of:
                 return
             data = self._path.read_bytes()
-            self._read_of = mark   # what cannot be read is not tried again until it has changed
+            self._read_of = mark  # what cannot be read is not tried again until it has changed
             told = json.loads(data)
             if not isinstance(told, dict) or told.get("version") != VERSION:
                 raise ValueError(f"no version {VERSION}")
--- a/linkdock/state/statefile.py
+++ b/linkdock/state/statefile.py
@@ -10,7 +10,7 @@
 
 from ..errors import LinkdockError
 
-MOST_BYTES = 4_000_000   # of a file that is read
+MOST_BYTES = 4_000_000  # of a file that is read
 
 State = TypeVar("State", bound=msgspec.Struct)
 
--- a/linkdock/state/succession.py
+++ b/linkdock/state/succession.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 
 LOCK = re.compile(r"lock\.([0-9]{1,9})\Z")
-ALONE = "journal"   # of a process that has no number
+ALONE = "journal"  # of a process that has no number
 
 
 def numbered(folder: Path) -> list[int]:
@@ -42,8 +42,12 @@
         """The lock goes last: as long as it is there, what else is left is known to be."""
         names = [self.journal.name, f"{self.journal.name}.new"]
         if self._lock is not None:
-            names += [f"board.{self.number}", f"learned.{self.number}", f"learned.{self.number}.new",
-                      f"lock.{self.number}"]
+            names += [
+                f"board.{self.number}",
+                f"learned.{self.number}",
+                f"learned.{self.number}.new",
+                f"lock.{self.number}",
+            ]
         names += [path.name for path in self._folder.glob(f"handed.{self.number}.*")]
         for name in sorted(names, key=lambda name: name.startswith("lock")):
             (self._folder / name).unlink(missing_ok=True)
@@ -117,7 +121,7 @@
                 lock = os.open(self._folder / f"lock.{number}", os.O_RDWR)
             except FileNotFoundError:
                 continue
-            except OSError:   # no descriptor: who cannot be asked is held to live
+            except OSError:  # no descriptor: who cannot be asked is held to live
                 alive.append(number)
                 continue
             if self._held(number, lock):
--- a/linkdock/state/table.py
+++ b/linkdock/state/table.py
@@ -10,24 +10,24 @@
 
 # Danger: a destination whose last server has just gone, before its next one is told: its messages must wait for that
 # one, and a client must not hear that nobody knows it.
-KNOWN_FOR, MOST_KNOWN = 60.0, 4096   # seconds, and destinations
-MOST_WAITS = 1024                    # kept before those that are over are looked for
+KNOWN_FOR, MOST_KNOWN = 60.0, 4096  # seconds, and destinations
+MOST_WAITS = 1024  # kept before those that are over are looked for
 
 
 class ServerTable:
     """Owner of the rows and the waits. `clock` says the time for what is forgotten."""
 
     def __init__(self, apart: Iterable[bool], clock: Callable[[], float] = lambda: 0.0) -> None:
-        self._apart, self._clock = list(apart), clock   # by kind: whether a wait binds one server or its destination
+        self._apart, self._clock = list(apart), clock  # by kind: whether a wait binds one server or its destination
         self.roster, self._before = Roster(), Roster()
         self.version = 0
-        self.told = False                      # whether any list or change has come
+        self.told = False  # whether any list or change has come
         self._waits: dict[tuple, float] = {}
         self._most_waits = MOST_WAITS
-        self._emptied: dict[int, float] = {}   # destinations without a row: until when they are known
+        self._emptied: dict[int, float] = {}  # destinations without a row: until when they are known
         self._before_until = -inf
-        self.out: Container[str] = ()          # by hand, where there are operators
-        self.heard: Callable[[tuple, float], None] | None = None   # told of each wait, where another process is too
+        self.out: Container[str] = ()  # by hand, where there are operators
+        self.heard: Callable[[tuple, float], None] | None = None  # told of each wait, where another process is too
 
     def update(self, servers: Iterable[Server], version: int) -> None:
         """Take in changes."""
@@ -70,8 +70,7 @@
         return (s._replace(health="draining") if s.health == "ready" and s.name in self.out else s for s in servers)
 
     def knows(self, destination: int) -> bool:
-        return (self.roster.knows(destination) or self._before.knows(destination)
-                or destination in self._emptied)
+        return self.roster.knows(destination) or self._before.knows(destination) or destination in self._emptied
 
     def _route(self, row: Server) -> tuple:
         apart = row.kind < len(self._apart) and self._apart[row.kind]
@@ -109,7 +108,7 @@
         if row is None:
             return "is gone"
         if row.destination != destination:
-            return f"serves {row.destination} now"   # Danger: it was chosen for another, whose messages are not its own
+            return f"serves {row.destination} now"  # Danger: it was chosen for another, whose messages are not its own
         if row.health != "ready":
             return f"is {row.health}"
         if name in self.out:
--- a/linkdock/state/wheel.py
+++ b/linkdock/state/wheel.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from math import inf
 
-SPARE = 64      # turns that may be kept beside those of spokes, and as many as there are spokes
-SURELY = 0.01   # part of a tick
+SPARE = 64  # turns that may be kept beside those of spokes, and as many as there are spokes
+SURELY = 0.01  # part of a tick
 
 
 class Timer:
@@ -30,12 +30,17 @@
     with the time of each timer that is set.
     """
 
-    def __init__(self, tick: float, now: float, clock: Callable[[], float] | None = None,
-                 wake: Callable[[float], None] | None = None) -> None:
+    def __init__(
+        self,
+        tick: float,
+        now: float,
+        clock: Callable[[], float] | None = None,
+        wake: Callable[[float], None] | None = None,
+    ) -> None:
         self.tick, self._now, self._clock, self._wake = tick, now, clock, wake
         self._turn = int(now / tick)
         self._spokes: dict[int, set[Timer]] = {}
-        self._order: list[int] = []   # a heap of their turns, some of which are gone
+        self._order: list[int] = []  # a heap of their turns, some of which are gone
 
     @property
     def now(self) -> float:
@@ -55,7 +60,7 @@
             return timer
         self._spokes[turn] = {timer}
         if len(self._order) > 2 * len(self._spokes) + SPARE:
-            self._order = sorted(self._spokes)   # Danger: most timers are cancelled, and their turns would stay
+            self._order = sorted(self._spokes)  # Danger: most timers are cancelled, and their turns would stay
         else:
             heapq.heappush(self._order, turn)
         if self._wake is not None:
@@ -92,7 +97,7 @@
         self._now, turn = now, int(now / self.tick)
         if turn - self._turn <= len(self._spokes):
             due = range(self._turn + 1, turn + 1)
-        else:   # after a long stall: the spokes that exist, not every tick that passed
+        else:  # after a long stall: the spokes that exist, not every tick that passed
             due = sorted(t for t in self._spokes if t <= turn)
         for self._turn in due:
             while spoke := self._spokes.get(self._turn):
--- a/linkdock/streams.py
+++ b/linkdock/streams.py
@@ -8,9 +8,9 @@
 
 from tornado.iostream import IOStream
 
-PEEK = 64 * 1024   # bytes that are looked at; a client that has sent more floods
-LAST = 0.5         # seconds for a peer to read what was written last and to close,
-LAST_BYTES = 512 * 1024   # and for so many bytes of what it sends meanwhile
+PEEK = 64 * 1024  # bytes that are looked at; a client that has sent more floods
+LAST = 0.5  # seconds for a peer to read what was written last and to close,
+LAST_BYTES = 512 * 1024  # and for so many bytes of what it sends meanwhile
 
 
 def silent(stream: IOStream, read: asyncio.Future) -> bool:
@@ -49,7 +49,7 @@
         if not stream.closed() and not stream.writing():
             stream.socket.shutdown(socket.SHUT_WR)
     except OSError:
-        pass   # its peer has gone
+        pass  # its peer has gone
 
 
 async def part(stream: IOStream, read: asyncio.Future | None, after: Callable) -> None:
@@ -59,14 +59,14 @@
     """
     timer, left = after(LAST, stream.close), LAST_BYTES
     try:
-        await stream.write(b"")   # behind all that is to be written
+        await stream.write(b"")  # behind all that is to be written
         shut(stream)
         while left > 0:
             left -= len(await (read or stream.read_bytes(PEEK, partial=True)))
             read = None
             await asyncio.sleep(0)
-    except OSError:   # a closed stream's among them
-        pass   # its peer has closed too, or took too long
+    except OSError:  # a closed stream's among them
+        pass  # its peer has closed too, or took too long
     finally:
         timer.cancel()
         stream.close()
@@ -77,7 +77,7 @@
 
     def __init__(self, after: Callable, spawn: Callable) -> None:
         self._after, self._spawn = after, spawn
-        self._streams: dict[IOStream, None] = {}   # the oldest first
+        self._streams: dict[IOStream, None] = {}  # the oldest first
 
     def __len__(self) -> int:
         return len(self._streams)
--- a/linkdock/undeliverable/facts.py
+++ b/linkdock/undeliverable/facts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-NEVER, MAY, DONE = "never ran", "may have run", "ran"   # what is proven of an attempt
+NEVER, MAY, DONE = "never ran", "may have run", "ran"  # what is proven of an attempt
 KEPT, ASKED, CLAIMED, DELIVERED, DROPPED = "kept", "asked", "claimed", "delivered", "dropped"
 
 
@@ -23,10 +23,10 @@
     cls: str
     destination: int
     body: bytes
-    until: float          # when its time was up, or would have been
+    until: float  # when its time was up, or would have been
     ended: float
-    cause: str            # the end that was told: deferred, undeliverable
-    repeatable: bool      # whether its class may run twice
+    cause: str  # the end that was told: deferred, undeliverable
+    repeatable: bool  # whether its class may run twice
     attempts: list[Attempt]
     state: str = KEPT
 
--- a/linkdock/undeliverable/store.py
+++ b/linkdock/undeliverable/store.py
@@ -18,9 +18,9 @@
 from .settings import Rule, UndeliverableSettings
 
 VERSION = 1
-BUSY_S = 5.0         # seconds that one process waits for another's transaction
+BUSY_S = 5.0  # seconds that one process waits for another's transaction
 LARGEST = 64 * 1024  # bytes of one body at most
-STEP = 500           # messages that one turn of tidying forgets
+STEP = 500  # messages that one turn of tidying forgets
 SCHEMA = """
 create table if not exists messages (
     id text not null, ended real not null, key text not null, cls text not null, destination integer not null,
@@ -39,7 +39,7 @@
     primary key (batch, id, until)) without rowid;
 create index if not exists by_resent on resends (id, until);
 """
-AT_REST = "state not in ('asked', 'claimed')"   # what is being sent again is never forgotten
+AT_REST = "state not in ('asked', 'claimed')"  # what is being sent again is never forgotten
 COLUMNS = "id, ended, key, cls, destination, until, cause, repeatable, attempts, state, body"
 
 
@@ -65,9 +65,15 @@
 
     def where(self) -> tuple[str, list]:
         words, values = ["1"], []
-        for column, sign, value in (("destination", "=", self.destination), ("cls", "=", self.cls),
-                                    ("cause", "=", self.cause), ("state", "=", self.state),
-                                    ("ended", ">=", self.since), ("ended", "<", self.before), ("id", "=", self.id)):
+        for column, sign, value in (
+            ("destination", "=", self.destination),
+            ("cls", "=", self.cls),
+            ("cause", "=", self.cause),
+            ("state", "=", self.state),
+            ("ended", ">=", self.since),
+            ("ended", "<", self.before),
+            ("id", "=", self.id),
+        ):
             if value is not None:
                 words.append(f"{column} {sign} ?")
                 values.append(value)
@@ -91,7 +97,7 @@
             if write:
                 self._db.execute("pragma journal_mode = wal")
                 self._db.execute("pragma synchronous = normal")
-                self._db.execute("pragma cache_size = -1024")   # KB: the sender's memory is short
+                self._db.execute("pragma cache_size = -1024")  # KB: the sender's memory is short
                 self._db.executescript(SCHEMA + f"pragma user_version = {VERSION};")
             elif not tables:
                 raise StoreError(f"{path}: no store of undeliverable messages")
@@ -117,16 +123,32 @@
             try:
                 self._db.execute("rollback")
             except sqlite3.Error:
-                pass   # a disk that is full may have rolled it back already
+                pass  # a disk that is full may have rolled it back already
 
     # --- What a sender does.
 
     def keep(self, messages: Iterable[Message]) -> None:
         """Keep these; one that is kept already stays as it is."""
         with self._step() as db:
-            db.executemany(f"insert or ignore into messages ({COLUMNS}) values (?,?,?,?,?,?,?,?,?,?,?)", [
-                (m.id, m.ended, m.key, m.cls, m.destination, m.until, m.cause, m.repeatable,
-                 msgspec.json.encode(m.attempts), m.state, m.body) for m in messages])
+            db.executemany(
+                f"insert or ignore into messages ({COLUMNS}) values (?,?,?,?,?,?,?,?,?,?,?)",
+                [
+                    (
+                        m.id,
+                        m.ended,
+                        m.key,
+                        m.cls,
+                        m.destination,
+                        m.until,
+                        m.cause,
+                        m.repeatable,
+                        msgspec.json.encode(m.attempts),
+                        m.state,
+                        m.body,
+                    )
+                    for m in messages
+                ],
+            )
 
     def tidy(self, settings: UndeliverableSettings, now: float) -> int:
         """Forget what is too old or too much; how many went. Of many, the oldest of who has the most go first.
@@ -135,18 +157,25 @@
         bytes; beyond the bound of all, the destination with the most gives up its oldest.
         """
         with self._step() as db:
-            gone = db.execute(f"delete from messages where ended < ? and {AT_REST}",
-                              (now - settings.keep_days * 86400,)).rowcount
-            full = db.execute(f"select destination, count(*) from messages where {AT_REST} group by destination"
-                              ).fetchall()
+            gone = db.execute(
+                f"delete from messages where ended < ? and {AT_REST}", (now - settings.keep_days * 86400,)
+            ).rowcount
+            full = db.execute(
+                f"select destination, count(*) from messages where {AT_REST} group by destination"
+            ).fetchall()
             total = sum(count for _, count in full)
             for destination, count in sorted(full, key=lambda row: -row[1]):
                 much = max(count - settings.most_each, 0)
                 # Bytes are counted only where so many messages can be too much: that reads all of their bodies.
                 size = 0
                 if count * LARGEST > settings.most_each_mb * 1e6:
-                    size = db.execute(f"select sum(length(body)) from messages where destination = ? and {AT_REST}",
-                                      (destination,)).fetchone()[0] or 0
+                    size = (
+                        db.execute(
+                            f"select sum(length(body)) from messages where destination = ? and {AT_REST}",
+                            (destination,),
+                        ).fetchone()[0]
+                        or 0
+                    )
                 if size > settings.most_each_mb * 1e6:
                     much = max(much, int(count * (1 - settings.most_each_mb * 1e6 / size)) + 1)
                 if total - gone > settings.most:
@@ -154,15 +183,19 @@
                 if much > 0:
                     gone += self._forget(db, destination, min(much, STEP))
             for table in ("statements", "resends") if gone else ():
-                db.execute(f"delete from {table} where not exists (select 1 from messages m where m.id = {table}.id "
-                           f"and m.until = {table}.until)")
+                db.execute(
+                    f"delete from {table} where not exists (select 1 from messages m where m.id = {table}.id "
+                    f"and m.until = {table}.until)"
+                )
         return gone
 
     @staticmethod
     def _forget(db: sqlite3.Connection, destination: int, count: int) -> int:
         return db.execute(
             "delete from messages where (id, until) in (select id, until from messages where destination = ? "
-            f"and {AT_REST} order by ended limit ?)", (destination, count)).rowcount
+            f"and {AT_REST} order by ended limit ?)",
+            (destination, count),
+        ).rowcount
 
     # --- Sent again. The sender in whose folder the store lies is the only one that dispatches.
 
@@ -185,8 +218,10 @@
                     refused[why] = refused.get(why, 0) + 1
                     continue
                 db.execute("update messages set state = ? where id = ? and until = ?", (ASKED, told.id, told.until))
-                db.execute("insert into resends (batch, id, until, who, asked) values (?,?,?,?,?)",
-                           (batch, told.id, told.until, who, time.time()))
+                db.execute(
+                    "insert into resends (batch, id, until, who, asked) values (?,?,?,?,?)",
+                    (batch, told.id, told.until, who, time.time()),
+                )
                 count += 1
         return count, refused
 
@@ -197,8 +232,9 @@
         for message, said in self.find(which):
             if may_be_sent_again(message, said) is not None:
                 continue
-            times, last = self._db.execute("select count(*), max(asked) from resends where id = ? and until = ?",
-                                           (message.id, message.until)).fetchone()
+            times, last = self._db.execute(
+                "select count(*), max(asked) from resends where id = ? and until = ?", (message.id, message.until)
+            ).fetchone()
             # Danger: a clock that was set back. What was asked for in the future counts as asked for now.
             if times < rule.times and (last is None or min(last, now) <= now - rule.every_s):
                 due.append(message)
@@ -218,8 +254,9 @@
                 if room.get(message.destination, 0) < most_each:
                     room[message.destination] = room.get(message.destination, 0) + 1
                     taken.append(message)
-            db.executemany("update messages set state = ? where id = ? and until = ?",
-                           [(CLAIMED, m.id, m.until) for m in taken])
+            db.executemany(
+                "update messages set state = ? where id = ? and until = ?", [(CLAIMED, m.id, m.until) for m in taken]
+            )
         return taken
 
     def claimed(self) -> list[Message]:
@@ -229,8 +266,10 @@
     def unclaim(self, messages: list[Message]) -> None:
         """Back in line: proven not to have been dispatched."""
         with self._step() as db:
-            db.executemany("update messages set state = ? where id = ? and until = ? and state = ?",
-                           [(ASKED, m.id, m.until, CLAIMED) for m in messages])
+            db.executemany(
+                "update messages set state = ? where id = ? and until = ? and state = ?",
+                [(ASKED, m.id, m.until, CLAIMED) for m in messages],
+            )
 
     def outcome(self, message: Message, delivered: bool, attempts: list[Attempt]) -> None:
         """What became of one that was claimed: delivered, or kept again with the attempts that were added."""
@@ -238,10 +277,14 @@
         state = DELIVERED if delivered else KEPT
         every = [*message.attempts, *(Attempt(first + a.number, a.proof) for a in attempts)]
         with self._step() as db:
-            db.execute("update messages set state = ?, attempts = ? where id = ? and until = ? and state = ?",
-                       (state, msgspec.json.encode(every), message.id, message.until, CLAIMED))
-            db.execute("update resends set how = ? where id = ? and until = ? and how is null",
-                       (state, message.id, message.until))
+            db.execute(
+                "update messages set state = ?, attempts = ? where id = ? and until = ? and state = ?",
+                (state, msgspec.json.encode(every), message.id, message.until, CLAIMED),
+            )
+            db.execute(
+                "update resends set how = ? where id = ? and until = ? and how is null",
+                (state, message.id, message.until),
+            )
 
     # --- What operators do.
 
@@ -252,13 +295,27 @@
             for row in self._db.execute(f"select {COLUMNS} from messages where {where} order by ended, id", values):
                 if most == 0:
                     return
-                message = Message(id=row[0], ended=row[1], key=row[2], cls=row[3], destination=row[4], until=row[5],
-                                  cause=row[6], repeatable=bool(row[7]),
-                                  attempts=msgspec.json.decode(row[8], type=list[Attempt]), state=row[9], body=row[10])
-                said = [Statement(at=at, who=who, why=why, proof=proof, upto=upto)
-                        for at, who, why, proof, upto in self._db.execute(
-                            "select at, who, why, proof, upto from statements where id = ? and until = ? "
-                            "order by at, rowid", (message.id, message.until))]
+                message = Message(
+                    id=row[0],
+                    ended=row[1],
+                    key=row[2],
+                    cls=row[3],
+                    destination=row[4],
+                    until=row[5],
+                    cause=row[6],
+                    repeatable=bool(row[7]),
+                    attempts=msgspec.json.decode(row[8], type=list[Attempt]),
+                    state=row[9],
+                    body=row[10],
+                )
+                said = [
+                    Statement(at=at, who=who, why=why, proof=proof, upto=upto)
+                    for at, who, why, proof, upto in self._db.execute(
+                        "select at, who, why, proof, upto from statements where id = ? and until = ? "
+                        "order by at, rowid",
+                        (message.id, message.until),
+                    )
+                ]
                 if which.doubt is None or in_doubt(message, said) is which.doubt:
                     most -= 1
                     yield message, said
@@ -272,24 +329,48 @@
             said = next((s for m, s in known if m.until == message.until), None)
             if said is None or not in_doubt(message, said):
                 raise StoreError(f"{message.id}: is not in doubt")
-            db.execute("insert into statements (id, until, at, who, why, proof, upto) values (?,?,?,?,?,?,?)",
-                       (message.id, message.until, statement.at, statement.who, statement.why, statement.proof,
-                        statement.upto))
+            db.execute(
+                "insert into statements (id, until, at, who, why, proof, upto) values (?,?,?,?,?,?,?)",
+                (
+                    message.id,
+                    message.until,
+                    statement.at,
+                    statement.who,
+                    statement.why,
+                    statement.proof,
+                    statement.upto,
+                ),
+            )
 
     def drop(self, messages: list[Message]) -> int:
         """Never to be sent again; what is known of them stays until it is too old. How many were not dropped before."""
         with self._step() as db:
-            return sum(db.execute("update messages set state = ? where id = ? and until = ? and state = ?",
-                                  (DROPPED, m.id, m.until, KEPT)).rowcount for m in messages)
+            return sum(
+                db.execute(
+                    "update messages set state = ? where id = ? and until = ? and state = ?",
+                    (DROPPED, m.id, m.until, KEPT),
+                ).rowcount
+                for m in messages
+            )
 
     def stats(self) -> list[dict]:
         """By destination, class and cause: how many, how many in doubt, bytes, the oldest's age in seconds."""
         groups: dict[tuple, dict] = {}
         now = time.time()
         for message, said in self.find(Filter()):
-            row = groups.setdefault((message.destination, message.cls, message.cause), {
-                "destination": message.destination, "class": message.cls, "cause": message.cause, "messages": 0,
-                "in doubt": 0, "may be sent": 0, "bytes": 0, "oldest_s": 0.0})
+            row = groups.setdefault(
+                (message.destination, message.cls, message.cause),
+                {
+                    "destination": message.destination,
+                    "class": message.cls,
+                    "cause": message.cause,
+                    "messages": 0,
+                    "in doubt": 0,
+                    "may be sent": 0,
+                    "bytes": 0,
+                    "oldest_s": 0.0,
+                },
+            )
             row["messages"] += 1
             row["in doubt"] += in_doubt(message, said)
             row["may be sent"] += may_be_sent_again(message, said) is None
--- a/linkdock/undeliverable/writer.py
+++ b/linkdock/undeliverable/writer.py
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-MOST_WAITING = 1024    # messages on their way to the store; beyond, they are not kept
-BATCH = 200            # in one transaction
-TIDY_EVERY = 30.0      # seconds between looks for what is to be forgotten
-LOOK_EVERY = 0.5       # seconds between looks for what operators want sent again
-RULES_EVERY = 5.0      # seconds between looks for what rules want sent again
-REFUSED_FOR = 1.0      # seconds until a destination is tried again whose message could not be taken on
-AGAIN_AFTER = 5.0      # seconds until a store that failed is tried again
-END_WAIT = 0.3         # seconds that the end of the process waits for the writer
+MOST_WAITING = 1024  # messages on their way to the store; beyond, they are not kept
+BATCH = 200  # in one transaction
+TIDY_EVERY = 30.0  # seconds between looks for what is to be forgotten
+LOOK_EVERY = 0.5  # seconds between looks for what operators want sent again
+RULES_EVERY = 5.0  # seconds between looks for what rules want sent again
+REFUSED_FOR = 1.0  # seconds until a destination is tried again whose message could not be taken on
+AGAIN_AFTER = 5.0  # seconds until a store that failed is tried again
+END_WAIT = 0.3  # seconds that the end of the process waits for the writer
 
 
 class Undeliverable:
@@ -46,10 +46,10 @@
         self._path = folder / self._settings.file
         self._waiting: queue.Queue[Callable[[Store], None] | Message | None] = queue.Queue(MOST_WAITING)
         self._failing = False
-        self.again: dict[str, Message] = {}   # by id: claimed, and in the journal
-        self._taken = 0                       # claimed, and on their way to the loop
+        self.again: dict[str, Message] = {}  # by id: claimed, and in the journal
+        self._taken = 0  # claimed, and on their way to the loop
         self._refused: dict[int, float] = {}  # destinations that could not be served again: until when they wait
-        self._closed = self.readable = False   # whether the store could be read at the start
+        self._closed = self.readable = False  # whether the store could be read at the start
         self._resend: Callable[[Message], bool] = lambda message: False
         try:
             store = Store(self._path, write=True)
@@ -81,9 +81,18 @@
 
     def keep(self, kept: Kept, cause: str, repeatable: bool, ran: bool) -> None:
         """A message's end was told and it was not delivered, or too late (`ran`)."""
-        message = Message(id=kept.id, key=kept.key, cls=kept.cls, destination=kept.destination, body=kept.body,
-                          until=kept.until, ended=time.time(), cause=cause, repeatable=repeatable,
-                          attempts=self._attempts(kept, ran))
+        message = Message(
+            id=kept.id,
+            key=kept.key,
+            cls=kept.cls,
+            destination=kept.destination,
+            body=kept.body,
+            until=kept.until,
+            ended=time.time(),
+            cause=cause,
+            repeatable=repeatable,
+            attempts=self._attempts(kept, ran),
+        )
         if self._failing:
             return
         if self._put(message):
@@ -111,6 +120,7 @@
         def tell(store: Store) -> None:
             store.outcome(message, delivered, attempts)
             self._release([message.id])
+
         if not self._put(tell):
             log.warning("%s: what became of it is told by the next life: the store is too slow", kept.id)
 
@@ -136,20 +146,20 @@
                 back.append(message)
                 self._refused = {**self._refused, message.destination: time.monotonic() + REFUSED_FOR}
         if back:
-            self._put(lambda store: store.unclaim(back))   # else the next life does
+            self._put(lambda store: store.unclaim(back))  # else the next life does
 
     # --- The thread.
 
     def _run(self) -> None:
         store, tidied, looked, ruled, over = None, 0.0, 0.0, 0.0, False
-        work: deque[Callable[[Store], None]] = deque()   # outcomes: kept until the store has taken them
+        work: deque[Callable[[Store], None]] = deque()  # outcomes: kept until the store has taken them
         while not over:
             batch = []
             try:
                 one = self._waiting.get(timeout=AGAIN_AFTER if self._failing else LOOK_EVERY)
                 while one is not None:
                     (batch if isinstance(one, Message) else work).append(one)
-                    if len(batch) + len(work) >= BATCH:   # Danger: what has been taken out must have been put in
+                    if len(batch) + len(work) >= BATCH:  # Danger: what has been taken out must have been put in
                         break
                     one = self._waiting.get_nowait()
                 over = one is None
@@ -203,7 +213,7 @@
         try:
             self._loop.call_soon_threadsafe(call)
         except RuntimeError:
-            pass   # the loop has ended; the next life finds it in the journal
+            pass  # the loop has ended; the next life finds it in the journal
 
     def close(self) -> None:
         """What is on its way is waited for a moment; the rest the next life finds in the journal."""
--- a/linkdock/wire.py
+++ b/linkdock/wire.py
@@ -38,14 +38,35 @@
 LENGTH = struct.Struct("<I")
 ENTRY = struct.Struct("<4sHBBHBfd")
 REPORT = struct.Struct("<B4f")
-RESULTS = {0: i.Result.OK, 5: i.Result.ERROR, 11: i.Result.FULL, 110: i.Result.TIMEOUT,
-           111: i.Result.CONNECT_FAILED, 104: i.Result.RESET, 125: i.Result.CANCELLED, 114: i.Result.MOOT}
+RESULTS = {
+    0: i.Result.OK,
+    5: i.Result.ERROR,
+    11: i.Result.FULL,
+    110: i.Result.TIMEOUT,
+    111: i.Result.CONNECT_FAILED,
+    104: i.Result.RESET,
+    125: i.Result.CANCELLED,
+    114: i.Result.MOOT,
+}
 STATES = {1: i.HostState.READY, 0: i.HostState.DRAINING, 2: i.HostState.GONE}
 LISTS = {1: i.ListKind.DELTA, 4: i.ListKind.FULL, 2: i.ListKind.CACHED, 3: i.ListKind.FAILED}
 EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
-BODIES = {code: struct.Struct("<" + body) for code, body in {
-    0: "QII", 1: "BQB", 2: "IIQddBBf", 3: "IB4sHd", 4: "IdHBIB4sH", 5: "I", 6: "Q", 7: "4sHHd", 8: "HII",
-    9: "", 10: ""}.items()}
+BODIES = {
+    code: struct.Struct("<" + body)
+    for code, body in {
+        0: "QII",
+        1: "BQB",
+        2: "IIQddBBf",
+        3: "IB4sHd",
+        4: "IdHBIB4sH",
+        5: "I",
+        6: "Q",
+        7: "4sHHd",
+        8: "HII",
+        9: "",
+        10: "",
+    }.items()
+}
 ALL_PEERS = 0xFFFFFFFF
 
 
@@ -89,26 +110,44 @@
 
 def _settings(told: dict) -> i.Settings:
     limits, extra, rules, tariffs = told["limits"], told["extra"], told["rules"], told.get("tariffs", {})
-    classes = [i.MessageClass(
-        effect=_lookup(EFFECTS, g["idempotency"], "idempotency"), aim=float(g["aim"]),
-        deadline=float(g["hard-limit"]), worth=float(g.get("importance", 1.0)),
-        late_share=float(g.get("late-share", 0.0)), in_order=bool(g.get("keep-order", False)),
-        window=float(g.get("window", 0.0)), group=str(g.get("group", "all"))) for g in told["grades"]]
+    classes = [
+        i.MessageClass(
+            effect=_lookup(EFFECTS, g["idempotency"], "idempotency"),
+            aim=float(g["aim"]),
+            deadline=float(g["hard-limit"]),
+            worth=float(g.get("importance", 1.0)),
+            late_share=float(g.get("late-share", 0.0)),
+            in_order=bool(g.get("keep-order", False)),
+            window=float(g.get("window", 0.0)),
+            group=str(g.get("group", "all")),
+        )
+        for g in told["grades"]
+    ]
     apart = extra.get("separate-routes", [])
     batch = extra.get("bundle-max", [])
     count = max(len(apart), len(batch), len(told.get("machine-types", [])), 1)
-    kinds = [i.DestinationKind(bool(apart[k]) if k < len(apart) else False,
-                               int(batch[k]) if k < len(batch) else 1) for k in range(count)]
+    kinds = [
+        i.DestinationKind(bool(apart[k]) if k < len(apart) else False, int(batch[k]) if k < len(batch) else 1)
+        for k in range(count)
+    ]
     return i.Settings(
-        classes=classes, kinds=kinds, slots=int(extra["calls-out"]), max_open=int(limits["max-open"]),
-        max_attempts=int(limits["max-attempts"]), relays=int(told.get("balancers", 1)),
-        me=int(told.get("me", 0)), tick=float(told.get("tick", 0.0)),
+        classes=classes,
+        kinds=kinds,
+        slots=int(extra["calls-out"]),
+        max_open=int(limits["max-open"]),
+        max_attempts=int(limits["max-attempts"]),
+        relays=int(told.get("balancers", 1)),
+        me=int(told.get("me", 0)),
+        tick=float(told.get("tick", 0.0)),
         connect_timeout=float(limits.get("connect-timeout", 1.0)),
         idle_close=float(limits.get("idle-close", 0.0)),
         max_retry_after=float(limits.get("max-retry-after", 0.0)),
-        retry_after=bool(limits.get("retry-after", False)), cancel=bool(limits.get("cancel", False)),
-        probes=bool(limits.get("probes", False)), second_copies=bool(limits.get("second-copies", False)),
-        subscribe=told.get("discovery") == "subscribe", ask_within=float(rules.get("ask-within", 10.0)),
+        retry_after=bool(limits.get("retry-after", False)),
+        cancel=bool(limits.get("cancel", False)),
+        probes=bool(limits.get("probes", False)),
+        second_copies=bool(limits.get("second-copies", False)),
+        subscribe=told.get("discovery") == "subscribe",
+        ask_within=float(rules.get("ask-within", 10.0)),
         halves=extra.get("loses-worth") == "by_half",
         rough_weights=told.get("weights") != "nominal",
         told_weights=told.get("weights") in ("nominal", "rough"),
@@ -118,10 +157,13 @@
         handshake_price=float(tariffs.get("handshake", 0.0)),
         refusal_price=float(extra.get("refusal-cost", 0.0)),
         drain_grace=float(rules.get("drain-grace", 0.0)),
-        fall_multiple=float(rules.get("fall-multiple", 1.0)), tip_after=float(rules.get("tip-after", 1.0)),
-        cold_share=float(rules.get("cold-share", 1.0)), cold_time=float(rules.get("cold", 0.0)),
+        fall_multiple=float(rules.get("fall-multiple", 1.0)),
+        tip_after=float(rules.get("tip-after", 1.0)),
+        cold_share=float(rules.get("cold-share", 1.0)),
+        cold_time=float(rules.get("cold", 0.0)),
         order_rest=float(rules.get("settle-after-doubt", 0.0)),
-        answer_slack=float(rules.get("answer-slack", 0.0)))
+        answer_slack=float(rules.get("answer-slack", 0.0)),
+    )
 
 
 class Decoder:
@@ -139,11 +181,11 @@
         end = HEADER.size + count * EVENT_SIZE
         if end > len(body):
             raise WireError("a batch is shorter than its records")
-        records = body[HEADER.size:end]
+        records = body[HEADER.size : end]
         tail = body[end:]
         events = []
         for at in range(0, len(records), EVENT_SIZE):
-            event = self._event(records[at:at + EVENT_SIZE], tail)
+            event = self._event(records[at : at + EVENT_SIZE], tail)
             if event is not None:
                 events.append(event)
         return now, events
@@ -152,7 +194,7 @@
     def _cut(tail: bytes, offset: int, size: int) -> bytes:
         if offset + size > len(tail):
             raise WireError("an offset lies outside the tail")
-        return tail[offset:offset + size]
+        return tail[offset : offset + size]
 
     def _report(self, relay: int, record: bytes, at: int) -> i.Report | None:
         n, *values = REPORT.unpack_from(record, at)
@@ -171,7 +213,8 @@
             rows = self._cut(tail, offset, count * ENTRY_SIZE)
             self.banks[bank] = [
                 i.HostEntry((ip, port), dest, _lookup(STATES, state, "host state"), kind, zone, weight, up)
-                for ip, port, zone, kind, dest, state, weight, up in ENTRY.iter_unpack(rows)]
+                for ip, port, zone, kind, dest, state, weight, up in ENTRY.iter_unpack(rows)
+            ]
             return None
         relay = LENGTH.unpack_from(record, 1)[0]
         values = body.unpack_from(record, 5)
@@ -196,16 +239,18 @@
             mid, spent, reason, done, note, attempt, address, port = values
             result = _lookup(RESULTS, reason, "outcome")
             wait = note / 1000.0 if result is i.Result.FULL else 0.0
-            return relay, i.Outcome(mid, attempt, (address, port), result, spent, bool(done), wait,
-                                    self._report(relay, record, 31))
+            return relay, i.Outcome(
+                mid, attempt, (address, port), result, spent, bool(done), wait, self._report(relay, record, 31)
+            )
         if code == 5:
             return relay, i.Withdrawn(values[0])
         if code == 6:
             return relay, i.TimerDue(values[0])
         if code == 7:
             address, port, reason, spent = values
-            return relay, i.Probed((address, port), _lookup(RESULTS, reason, "outcome"), spent,
-                                   self._report(relay, record, 21))
+            return relay, i.Probed(
+                (address, port), _lookup(RESULTS, reason, "outcome"), spent, self._report(relay, record, 21)
+            )
         if code == 8:
             sender, offset, size = values
             return relay, i.PeerMessage(sender, self._cut(tail, offset, size))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,8 +3,12 @@
 import pytest
 from peers import Program
 
-LONGEST = ("test_a_kill_at_any_step_of", "test_an_order_takes_effect_once_or_is_in_doubt_wherever",
-           "test_cold_destinations_get_less", "test_a_thousand_of_fifty_thousand")
+LONGEST = (
+    "test_a_kill_at_any_step_of",
+    "test_an_order_takes_effect_once_or_is_in_doubt_wherever",
+    "test_cold_destinations_get_less",
+    "test_a_thousand_of_fifty_thousand",
+)
 
 
 def pytest_collection_modifyitems(items):
@@ -19,6 +23,7 @@
     def begin(*args, **more):
         made.append(make(*args, **more))
         return made[-1]
+
     yield begin
     for one in made:
         one.close()
@@ -32,4 +37,5 @@
 @pytest.fixture
 def pair(tmp_path):
     from test_upgrades import Pair
+
     yield from closed(lambda backends, **more: Pair(tmp_path, backends, **more))
--- a/tests/crash_child.py
+++ b/tests/crash_child.py
@@ -35,7 +35,7 @@
 def faulty_write(file, data):
     point()
     if passed + 1 == POINT:
-        write(file, data[:len(data) // 2])
+        write(file, data[: len(data) // 2])
     point()
     done = write(file, data)
     point()
--- a/tests/handshakes.py
+++ b/tests/handshakes.py
@@ -43,8 +43,10 @@
         """Go on: handshakes end, and a round is run now and then."""
         while self.now < when:
             self.now = min(when, self.now + ROUND / 4)
-            due, self.opening = [o for o in self.opening if o[0] <= self.now], [
-                o for o in self.opening if o[0] > self.now]
+            due, self.opening = (
+                [o for o in self.opening if o[0] <= self.now],
+                [o for o in self.opening if o[0] > self.now],
+            )
             for _, line in due:
                 if line.server in self.refusing:
                     self.do(self.keeper.failed(self.now, line.server, line.dial))
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,23 +17,37 @@
 from linkdock.state.journal import Journal
 
 ROOT = pathlib.Path(__file__).parent.parent
-PATIENCE = 30.0   # seconds that a test waits for what must come; none waits it out
+PATIENCE = 30.0  # seconds that a test waits for what must come; none waits it out
 
 CLASSES = [
     {"name": "preview", "idempotency": "read_like", "aim": 0.8, "hard-limit": 6.0, "late-share": 0.1},
-    {"name": "order", "idempotency": "non_idempotent", "aim": 4.0, "hard-limit": 16.0, "importance": 2.0}]
+    {"name": "order", "idempotency": "non_idempotent", "aim": 4.0, "hard-limit": 16.0, "importance": 2.0},
+]
 # With time enough for a restart between two dispatches, on a machine with much else to do.
 UNHURRIED = [{**CLASSES[0], "hard-limit": 30.0}, CLASSES[1]]
 
 
 def settings(**more):
     told = {
-        "grades": CLASSES, "zones": ["a"], "machine-types": ["single", "batching"], "balancers": 1, "me": 0,
-        "limits": {"max-open": 50, "max-attempts": 5, "connect-timeout": 1.5, "idle-close": 5.0,
-                   "cancel": True, "retry-after": True, "max-retry-after": 3.0, "second-copies": True},
-        "extra": {"calls-out": 8, "bundle-max": [1, 10]}, "report": {"fields": ["x0", "x1"]},
-        "rules": {"drain-grace": 2.0, "fall-multiple": 1.5, "tip-after": 2.0, "cold-share": 0.3,
-                  "cold": 12.0}}
+        "grades": CLASSES,
+        "zones": ["a"],
+        "machine-types": ["single", "batching"],
+        "balancers": 1,
+        "me": 0,
+        "limits": {
+            "max-open": 50,
+            "max-attempts": 5,
+            "connect-timeout": 1.5,
+            "idle-close": 5.0,
+            "cancel": True,
+            "retry-after": True,
+            "max-retry-after": 3.0,
+            "second-copies": True,
+        },
+        "extra": {"calls-out": 8, "bundle-max": [1, 10]},
+        "report": {"fields": ["x0", "x1"]},
+        "rules": {"drain-grace": 2.0, "fall-multiple": 1.5, "tip-after": 2.0, "cold-share": 0.3, "cold": 12.0},
+    }
     for key, value in more.items():
         part, _, name = key.partition("__")
         (told[part] if name else told)[(name or part).replace("_", "-")] = value
@@ -81,8 +95,16 @@
         self.dial = "127.0.0.1:%d" % self.sock.getsockname()[1]  # noqa: UP031
 
     def row(self, health="ready"):
-        return {"host": self.name, "dial": self.dial, "site": "a", "class": self.kind,
-                "block": self.destination, "health": health, "share": 1.0, "born_ms": 0}
+        return {
+            "host": self.name,
+            "dial": self.dial,
+            "site": "a",
+            "class": self.kind,
+            "block": self.destination,
+            "health": health,
+            "share": 1.0,
+            "born_ms": 0,
+        }
 
     def line(self):
         return Line(self.sock.accept()[0])
@@ -112,14 +134,14 @@
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.dial = "127.0.0.1:%d" % self.sock.getsockname()[1]  # noqa: UP031
         self.notices, self.watches = queue.Queue(), queue.Queue()
-        self.reply = 204   # to notices; None stays silent
+        self.reply = 204  # to notices; None stays silent
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self):
         while True:
             try:
                 line = Line(self.sock.accept()[0])
-            except OSError:   # the test took discovery down
+            except OSError:  # the test took discovery down
                 return
             threading.Thread(target=self._serve, args=(line,), daemon=True).start()
 
@@ -161,10 +183,11 @@
             say(json.dumps({"seq": seq, "whole": whole, "hosts": rows}).encode() + b"\n")
 
         def beat():
-            with contextlib.suppress(OSError):   # the program has gone
+            with contextlib.suppress(OSError):  # the program has gone
                 while True:
                     say(b"\n")
                     time.sleep(0.1)
+
         if lively:
             threading.Thread(target=beat, daemon=True).start()
         return first, tell
@@ -195,20 +218,37 @@
 class Program:
     """The real program as its own process, with a folder that lasts."""
 
-    def __init__(self, folder, backends, discovery=None, limits=None, deploy=None, admin=None, accept=None, state=None,
-                 news="automatic", known=None, **more):
+    def __init__(
+        self,
+        folder,
+        backends,
+        discovery=None,
+        limits=None,
+        deploy=None,
+        admin=None,
+        accept=None,
+        state=None,
+        news="automatic",
+        known=None,
+        **more,
+    ):
         self.discovery = discovery or Discovery()
-        self.deploy = folder / "deploy"   # what is switched on: a file's name and its settings
+        self.deploy = folder / "deploy"  # what is switched on: a file's name and its settings
         self.deploy.mkdir(exist_ok=True)
         for name, told in (deploy or {}).items():
             (self.deploy / f"{name}.json").write_text(json.dumps(told))
-        self.accept = accept   # the clients' listening socket, where the test holds it
+        self.accept = accept  # the clients' listening socket, where the test holds it
         self.state = state or folder / "state"
         self.state.mkdir(exist_ok=True)
-        config = {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.dial, "seed": "8c1f30d2",
-                  "limits": {"memory_mb": 192, "sockets": 1024, "disk_mb": 3, **(limits or {})},
-                  "known": {"seq": 7, "whole": True, "hosts": [b.row() for b in backends]} if known is None else known,
-                  "settings": {**settings(**more), "discovery": news}}
+        config = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": self.discovery.dial,
+            "seed": "8c1f30d2",
+            "limits": {"memory_mb": 192, "sockets": 1024, "disk_mb": 3, **(limits or {})},
+            "known": {"seq": 7, "whole": True, "hosts": [b.row() for b in backends]} if known is None else known,
+            "settings": {**settings(**more), "discovery": news},
+        }
         if admin is not None:
             config["admin_addr"] = admin
         self.config = folder / "config.json"
@@ -216,13 +256,18 @@
         self.start()
 
     def start(self):
-        env = {**os.environ, "RELAY_CONFIG": str(self.config), "RELAY_STATE": str(self.state),
-               "LINKDOCK_DEPLOY": str(self.deploy)}
+        env = {
+            **os.environ,
+            "RELAY_CONFIG": str(self.config),
+            "RELAY_STATE": str(self.state),
+            "LINKDOCK_DEPLOY": str(self.deploy),
+        }
         inherited = ()
         if self.accept is not None:
             inherited, env["RELAY_ACCEPT_FD"] = (self.accept.fileno(),), str(self.accept.fileno())
-        self.process = subprocess.Popen([sys.executable, "-m", "linkdock"], cwd=ROOT, env=env,
-                                        stderr=subprocess.PIPE, text=True, pass_fds=inherited)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "linkdock"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True, pass_fds=inherited
+        )
         self.log, ready = [], threading.Event()
 
         def read(stream):
@@ -231,6 +276,7 @@
                 if "listens on" in line:
                     ready.set()
             ready.set()
+
         self.reader = threading.Thread(target=read, args=(self.process.stderr,), daemon=True)
         self.reader.start()
         ready.wait(PATIENCE)
--- a/tests/succession_child.py
+++ b/tests/succession_child.py
@@ -30,7 +30,7 @@
 def faulty_write(file, data):
     point()
     if passed + 1 == POINT:
-        write(file, data[:len(data) // 2])
+        write(file, data[: len(data) // 2])
     point()
     return write(file, data)
 
@@ -63,4 +63,4 @@
 if sys.argv[3:]:
     faults()
     assert process.hand_over(sys.argv[3:])
-    point()   # before the lock of what was handed over would be let go of with the process
+    point()  # before the lock of what was handed over would be let go of with the process
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -75,7 +75,7 @@
     for n in range(200):
         for _ in range(4):
             conduct.good(0.0, f"10.0.0.{n}")
-    for n in range(100_000):   # the sketch has a fixed room, so that more change nothing
+    for n in range(100_000):  # the sketch has a fixed room, so that more change nothing
         conduct.bad(1.0, f"{luck.randrange(1 << 30)}-{n}")
     assert len(conduct) <= 256
     assert all(conduct.standing(1.0, f"10.0.0.{n}") == KNOWN for n in range(200))
@@ -88,9 +88,17 @@
     assert len(conduct) == 16 and conduct.standing(0.0, "39") == KNOWN and conduct.standing(0.0, "3") == NEW
 
 
-@pytest.mark.parametrize("address, key", [
-    ("10.1.2.3", "10.1.2.3"), ("2001:db8:1:2:3:4:5:6", "2001:db8:1:2::/64"), ("2001:db8:1:2::9", "2001:db8:1:2::/64"),
-    ("::ffff:10.1.2.3", "10.1.2.3"), ("fe80::1%eth0", "fe80::/64"), ("no:address", "no:address")])
+@pytest.mark.parametrize(
+    "address, key",
+    [
+        ("10.1.2.3", "10.1.2.3"),
+        ("2001:db8:1:2:3:4:5:6", "2001:db8:1:2::/64"),
+        ("2001:db8:1:2::9", "2001:db8:1:2::/64"),
+        ("::ffff:10.1.2.3", "10.1.2.3"),
+        ("fe80::1%eth0", "fe80::/64"),
+        ("no:address", "no:address"),
+    ],
+)
 def test_ipv6_goes_by_its_prefix(address, key):
     assert key_of(address) == key
 
@@ -166,19 +174,33 @@
     statefile.write(file, view.state(before, 1.0))
     assert view.restore(after, view.read(file), 500.0) == 1
     assert after.conduct.standing(500.0, FRIEND) == KNOWN and after.conduct.standing(500.0, FLOOD) == NEW
-    for text in ("", "[]", '{"version": 1}', file.read_text().replace('"version":1', '"version":2'),
-                 file.read_text().replace('"good":', '"good":-')):
+    for text in (
+        "",
+        "[]",
+        '{"version": 1}',
+        file.read_text().replace('"version":1', '"version":2'),
+        file.read_text().replace('"good":', '"good":-'),
+    ):
         file.write_text(text)
         with pytest.raises(ValueError) as bad:
             view.read(file)
         assert "clients.json" in str(bad.value)
 
 
-@pytest.mark.parametrize("text, named", [
-    ('{"on": true, "each": 900}', "each must be at most"), ('{"reserve": 0.99}', "reserve must leave"),
-    ('{"reserve": 1}', "$.reserve"), ('{"burst": 500}', "burst must be at most strangers_burst"),
-    ('{"rate": 500}', "rate must be at most strangers"), ('{"rate": 0}', "$.rate"), ('{"file": "a/b"}', "$.file"),
-    ('{"cap": 3}', "cap"), ("{", "admission.json")])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"on": true, "each": 900}', "each must be at most"),
+        ('{"reserve": 0.99}', "reserve must leave"),
+        ('{"reserve": 1}', "$.reserve"),
+        ('{"burst": 500}', "burst must be at most strangers_burst"),
+        ('{"rate": 500}', "rate must be at most strangers"),
+        ('{"rate": 0}', "$.rate"),
+        ('{"file": "a/b"}', "$.file"),
+        ('{"cap": 3}', "cap"),
+        ("{", "admission.json"),
+    ],
+)
 def test_settings_that_contradict_each_other_or_the_places_are_named(text, named):
     with pytest.raises(OptionError) as bad:
         shape.read(text.encode(), 200)
@@ -229,8 +251,9 @@
     before, after = gate(memory_s=100.0), gate(memory_s=100.0)
     befriend(before, messages=4)
     told = view.state(before, 0.0)
-    view.restore(after, type(told)(**{**{f: getattr(told, f) for f in told.__struct_fields__},
-                                      "unix": told.unix + 1e6}), 0.0)
+    view.restore(
+        after, type(told)(**{**{f: getattr(told, f) for f in told.__struct_fields__}, "unix": told.unix + 1e6}), 0.0
+    )
     assert after.conduct.standing(0.0, FRIEND) == KNOWN and after.conduct.standing(100.0, FRIEND) == NEW
 
 
@@ -239,4 +262,4 @@
     told = [door.spread(0.0, 0.5) for _ in range(300)]
     assert told[0] == 0.5 and all(0.5 <= t <= 0.5 + 2.0 for t in told)
     assert max(sum(a <= t < a + 0.1 for t in told[:200]) for a in told[:200]) <= 11
-    assert door.spread(10.0, 0.2) == pytest.approx(0.2)   # it is over
+    assert door.spread(10.0, 0.2) == pytest.approx(0.2)  # it is over
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -25,7 +25,7 @@
     first = [asking.first() for asking in fleet(senders)]
     span = min(0.08 * senders, WITHIN / 2)
     assert 0 <= min(first) and max(first) <= span
-    assert most_in(first, span / 10) <= max(3, 0.25 * senders)   # a tenth of the span, and no crowd in it
+    assert most_in(first, span / 10) <= max(3, 0.25 * senders)  # a tenth of the span, and no crowd in it
 
 
 def test_refusals_on_end_are_met_with_growing_pauses_that_differ_and_stay_bounded():
@@ -33,8 +33,8 @@
     rounds = [[asking.again(served=False) for asking in senders] for _ in range(6)]
     for pauses, base in zip(rounds, (1.25, 2.5, 5.0, 5.0, 5.0, 5.0), strict=True):
         assert 0.5 * base <= min(pauses) and max(pauses) <= 1.5 * base
-        assert most_in(pauses, base / 10) < 0.4 * len(senders)   # they do not come back in step
-    assert rounds[0] == [asking.again(served=False) for asking in fleet(40)]   # by the seed alone
+        assert most_in(pauses, base / 10) < 0.4 * len(senders)  # they do not come back in step
+    assert rounds[0] == [asking.again(served=False) for asking in fleet(40)]  # by the seed alone
 
 
 def test_news_that_came_ends_the_backing_off_and_a_common_break_is_spread_again():
@@ -88,7 +88,7 @@
 def test_discovery_that_turns_callers_away_is_asked_less_often_and_its_news_is_taken_then(start):
     old, new, discovery = Backend("s1"), Backend("s2"), Overbooked(3)
     program = start([old], discovery=discovery, news="subscribe", rules__ask_within=0.8)
-    assert program.client().enqueue("aa01") == "+OK"   # the known list serves meanwhile
+    assert program.client().enqueue("aa01") == "+OK"  # the known list serves meanwhile
     old.take()[0].answer(200)
     first, tell = discovery.watch()
     assert "from=7" in first
@@ -108,21 +108,23 @@
     assert all(b - a < 1.0 for a, b in zip(discovery.asked, discovery.asked[1:], strict=False))
 
 
-@pytest.mark.parametrize("known", [
-    {"seq": 0, "whole": True, "hosts": []}, {"seq": None, "hosts": [7]}, {"hosts": "none"}, ["no", "list"], "", {}])
+@pytest.mark.parametrize(
+    "known",
+    [{"seq": 0, "whole": True, "hosts": []}, {"seq": None, "hosts": [7]}, {"hosts": "none"}, ["no", "list"], "", {}],
+)
 def test_a_known_list_that_is_empty_or_cannot_be_read_keeps_nobody_from_the_start(start, known):
     server = Backend("s1")
     program = start([server], known=known)
     client = program.client()
-    assert client.enqueue("aa01") == "-BUSY 1000"   # nothing says yet that there is no such destination
+    assert client.enqueue("aa01") == "-BUSY 1000"  # nothing says yet that there is no such destination
     first, tell = program.discovery.watch()
     tell(9, [server.row()])
-    for n in range(2, 200):   # the news is taken in within a tick or two
+    for n in range(2, 200):  # the news is taken in within a tick or two
         if (said := client.enqueue(f"aa{n:02d}")) == "+OK":
             break
         assert said == "-BUSY 1000"
     server.take()[0].answer(200)
-    assert client.enqueue("ab01", dest=99).startswith("-ERR")   # now it is known what there is
+    assert client.enqueue("ab01", dest=99).startswith("-ERR")  # now it is known what there is
 
 
 def test_what_is_denied_for_want_of_a_list_is_counted_once(start):
@@ -158,9 +160,9 @@
         if not turn:
             program.logged("a whole list of version 3 is older than 7")
             assert program.client().enqueue("aa01") == "+OK"
-            new.take()[0].answer(200, Connection="close")   # what is known stays in force
+            new.take()[0].answer(200, Connection="close")  # what is known stays in force
     client, called = program.client(), new
-    for n in range(2, 200):   # the second telling is taken in within a tick or two
+    for n in range(2, 200):  # the second telling is taken in within a tick or two
         assert client.enqueue(f"aa{n:02d}") == "+OK"
         called = socket_that_is_called([old, new])
         called.take()[0].answer(200, Connection="close")
--- a/tests/test_cluster_leases.py
+++ b/tests/test_cluster_leases.py
@@ -39,9 +39,16 @@
 
 def some_command(draw):
     name, holder, token = draw.choice("abc"), draw.choice("xy"), draw.randrange(1, 60)
-    return draw.choice([Acquire(name, holder, 1000), Renew(name, holder, token), Release(name, holder, token),
-                        Expire(name, token, token), Put(name, bytes([token]), draw.choice([None, 0, token])),
-                        Delete(name, draw.choice([None, token]))])
+    return draw.choice(
+        [
+            Acquire(name, holder, 1000),
+            Renew(name, holder, token),
+            Release(name, holder, token),
+            Expire(name, token, token),
+            Put(name, bytes([token]), draw.choice([None, 0, token])),
+            Delete(name, draw.choice([None, token])),
+        ]
+    )
 
 
 def test_the_same_entries_give_the_same_state_also_from_an_image_and_whatever_the_bytes():
@@ -50,7 +57,7 @@
     for index in range(1, 3000):
         data = request(f"p{draw.randrange(40)}", draw.randrange(1, 90), some_command(draw))
         if draw.random() < 0.1:
-            data = bytes(draw.randrange(256) if draw.random() < 0.1 else b for b in data)[:draw.randrange(80)]
+            data = bytes(draw.randrange(256) if draw.random() < 0.1 else b for b in data)[: draw.randrange(80)]
         answer = one.apply(index, data)
         assert answer == other.apply(index, data)
         if index % 100 == 0:
@@ -68,7 +75,7 @@
     assert first == Granted(5, 1000)
     assert do(state, 6, Release("a", "x", 5), "x#1", 8) == Done(6)
     assert do(state, 7, Acquire("a", "x", 1000), "x#1", 7) == first
-    assert "a" not in state.leases   # it was not carried out again
+    assert "a" not in state.leases  # it was not carried out again
     for number in range(9, 9 + leases.MOST_ANSWERS):
         do(state, number + 10, Put("k", b"v"), "x#1", number)
     assert do(state, 90, Acquire("a", "x", 1000), "x#1", 7) == Refused(leases.OLD)
@@ -80,13 +87,13 @@
     do(state, 1, Acquire("a", "x", 1000))
     assert do(state, 2, Acquire("a", "y", 1000)) == Taken("x", 1)
     assert do(state, 3, Renew("a", "x", 1)) == Done(3)
-    assert do(state, 4, Expire("a", 1, 1)) == Lost()      # proposed before the renewal
+    assert do(state, 4, Expire("a", 1, 1)) == Lost()  # proposed before the renewal
     assert do(state, 5, Expire("a", 2, 3)) == Lost()
     assert state.leases["a"] == Lease("x", 1, 1000, 3)
     assert do(state, 6, Expire("a", 1, 3)) == Done(6)
     assert do(state, 7, Acquire("a", "y", 1000)) == Granted(7, 1000)
     assert do(state, 8, Release("a", "x", 1)) == do(state, 9, Renew("a", "x", 7)) == Lost()
-    assert do(state, 10, Acquire("a", "y", 1000)) == Granted(10, 1000)   # the old token is not good any more
+    assert do(state, 10, Acquire("a", "y", 1000)) == Granted(10, 1000)  # the old token is not good any more
     assert do(state, 11, Renew("a", "y", 7)) == Lost()
 
 
@@ -168,7 +175,7 @@
     held = Held("a", 3, 9.0, 100.0, 0.02)
     assert held.renew_at == 103.0 and held.holds(108.81) and not held.holds(108.83)
     held.renewed(103.0)
-    held.renewed(101.0)   # an answer on its way for longer
+    held.renewed(101.0)  # an answer on its way for longer
     assert held.holds(111.81) and held.renew_at == 106.0
 
 
@@ -177,7 +184,7 @@
 
     async def propose(command, deadline):
         nonlocal now
-        now += 2.0   # the answer's way
+        now += 2.0  # the answer's way
         return answers[type(command)]
 
     async def story():
@@ -192,10 +199,11 @@
         again = await holding.acquire("a", 9.0, 5.0)
         await holding.release(again, 5.0)
         assert not again.holds(now)
-        answers[Acquire] = Granted(9, 1000)   # over before its answer is here
+        answers[Acquire] = Granted(9, 1000)  # over before its answer is here
         assert await holding.acquire("a", 1.0, 5.0) == Lost() and not holding.held
         for task in tasks:
             task.cancel()
+
     asyncio.run(story())
 
 
@@ -213,13 +221,14 @@
     for token in (7, 8, 9):
         fence.check(f"r{token}", token, "x")
     with pytest.raises(Fenced):
-        fence.check("r", 5, "x")   # forgotten by the bound, and still not let in
+        fence.check("r", 5, "x")  # forgotten by the bound, and still not let in
     fence.check("r", 10, "y")
 
 
 def test_what_the_fence_could_not_keep_it_does_not_let_in():
     def full(data):
         raise OSError(28, "no room")
+
     fence = Fence(lambda: None, full)
     for _ in range(2):
         with pytest.raises(OSError):
--- a/tests/test_cluster_log.py
+++ b/tests/test_cluster_log.py
@@ -141,12 +141,22 @@
 
 def test_a_conflict_longer_than_a_batch_is_passed_over_by_terms():
     image = founded((A, B, C)).image
+
     def entry(at, term):
         return i.Entry(at, term, i.Kind.COMMAND, b"%d" % term)
+
     old = [entry(at, 1 + at // 100) for at in range(1, 501)]
     new = [entry(at, 1) for at in range(1, 51)] + [entry(at, 9) for at in range(51, 301)]
-    group = Group(A, B, C, stored={A: i.Stored(i.Vote(9), image, tuple(new)), B: i.Stored(i.Vote(9), image, tuple(new)),
-                                   C: i.Stored(i.Vote(9), image, tuple(old))})
+    group = Group(
+        A,
+        B,
+        C,
+        stored={
+            A: i.Stored(i.Vote(9), image, tuple(new)),
+            B: i.Stored(i.Vote(9), image, tuple(new)),
+            C: i.Stored(i.Vote(9), image, tuple(old)),
+        },
+    )
     leader = group.elect(A)
     assert group.cores[C].log.held == leader.log.held and leader.commit == 301
     assert sum(isinstance(m, i.Appended) and not m.ok and s == C for s, _, m in group.sent) <= 7
@@ -220,8 +230,15 @@
     leader = group.elect(A)
     with pytest.raises(errors.TooLarge):
         leader.propose(group.now, b"x" * (i.MOST_ENTRY + 1))
-    for voters, learners in (((), ()), ((A, B, C, D), ()), ((A,), ()), ((A, B, C), (D, "e~0")), ((A, B, B), ()),
-                             ((A, B, C), ()), ((A, B, C), (C,))):
+    for voters, learners in (
+        ((), ()),
+        ((A, B, C, D), ()),
+        ((A,), ()),
+        ((A, B, C), (D, "e~0")),
+        ((A, B, B), ()),
+        ((A, B, C), ()),
+        ((A, B, C), (C,)),
+    ):
         with pytest.raises(errors.BadChange):
             leader.change(group.now, i.Config(voters, learners))
     for _ in range(group.settings.most_open):
@@ -259,11 +276,17 @@
     def entries():
         kinds = [random.choice(list(i.Kind)) for _ in range(random.randrange(3))]
         return tuple(i.Entry(number(), number(), kind, b"\x91\xc1") for kind in kinds)
-    make = (lambda: i.PreVote(number(), number(), number()), lambda: i.PreVoted(number(), True),
-            lambda: i.AskVote(number(), number(), number(), True), lambda: i.Voted(number(), True),
-            lambda: i.Append(number(), number(), number(), number(), number(), entries()),
-            lambda: i.Appended(number(), random.random() < 0.5, number(), number()), lambda: i.TakeOver(number()),
-            lambda: i.Install(number(), number(), number(), number(), number(), b"junk", number()))
+
+    make = (
+        lambda: i.PreVote(number(), number(), number()),
+        lambda: i.PreVoted(number(), True),
+        lambda: i.AskVote(number(), number(), number(), True),
+        lambda: i.Voted(number(), True),
+        lambda: i.Append(number(), number(), number(), number(), number(), entries()),
+        lambda: i.Appended(number(), random.random() < 0.5, number(), number()),
+        lambda: i.TakeOver(number()),
+        lambda: i.Install(number(), number(), number(), number(), number(), b"junk", number()),
+    )
     for _ in range(60):
         group = Group(A, B, C)
         leader = group.elect(A)
--- a/tests/test_cluster_members.py
+++ b/tests/test_cluster_members.py
@@ -72,18 +72,30 @@
 # --- Bad packets.
 
 peers = st.builds(
-    Peer, st.sampled_from(["p0~1", "p0~2", "p1~1", "p1~2", "p2~1", "", "~", "x", "é~1", "p~" + "1" * 200, "ghost~3"]),
-    st.sampled_from(["a", "", "z" * 100, "a b"]), st.sampled_from(["", "r", "r" * 99]),
+    Peer,
+    st.sampled_from(["p0~1", "p0~2", "p1~1", "p1~2", "p2~1", "", "~", "x", "é~1", "p~" + "1" * 200, "ghost~3"]),
+    st.sampled_from(["a", "", "z" * 100, "a b"]),
+    st.sampled_from(["", "r", "r" * 99]),
     st.sampled_from(["10.0.0.1", "10.0.0.256", "::1", "host", "", "127.0.0.1\n"]),
-    st.sampled_from([0, 1, 7000, 65535, 65536, -1]), st.sampled_from([0, 1, 2, 1 << 40]))
-good = st.builds(Peer, st.sampled_from(["p0~1", "p0~2", "p1~1", "p1~2", "p2~1", "ghost~3"]), st.just("a"), st.just(""),
-                 st.just("10.0.0.1"), st.just(7000))
+    st.sampled_from([0, 1, 7000, 65535, 65536, -1]),
+    st.sampled_from([0, 1, 2, 1 << 40]),
+)
+good = st.builds(
+    Peer,
+    st.sampled_from(["p0~1", "p0~2", "p1~1", "p1~2", "p2~1", "ghost~3"]),
+    st.just("a"),
+    st.just(""),
+    st.just("10.0.0.1"),
+    st.just(7000),
+)
 numbers = st.integers(-(1 << 63), (1 << 64) - 1) | st.integers(0, 3) | st.sampled_from([HIGHEST - 1, HIGHEST])
 rumours = st.builds(Rumour, peers | good, st.sampled_from(Standing), numbers)
 texts = st.sampled_from(["p0~1", "p1~1", "p2~1", "", "x" * 1200])
 heads = (peers | good, numbers, numbers, st.lists(rumours, max_size=5).map(tuple), texts)
-packets = st.one_of(*(st.builds(kind, *heads) for kind in (Ping, PingFor, Ack, Nack)),
-                    *(st.builds(kind, *heads[:4]) for kind in (Join, Welcome)))
+packets = st.one_of(
+    *(st.builds(kind, *heads) for kind in (Ping, PingFor, Ack, Nack)),
+    *(st.builds(kind, *heads[:4]) for kind in (Join, Welcome)),
+)
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
@@ -102,10 +114,24 @@
         assert all(post.seed or post.to in view for post in posts(out))
 
 
-@pytest.mark.parametrize("bad", [
-    {"id": ""}, {"id": "p5"}, {"id": "p5~"}, {"id": "p5~1\n"}, {"id": "p" * 70 + "~1"}, {"zone": ""},
-    {"zone": "z" * 49}, {"port": 0}, {"port": 65536}, {"host": "::1"}, {"host": "localhost"}, {"host": "1.2.3.256"},
-    {"host": "1.2.3"}])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        {"id": ""},
+        {"id": "p5"},
+        {"id": "p5~"},
+        {"id": "p5~1\n"},
+        {"id": "p" * 70 + "~1"},
+        {"zone": ""},
+        {"zone": "z" * 49},
+        {"port": 0},
+        {"port": 65536},
+        {"host": "::1"},
+        {"host": "localhost"},
+        {"host": "1.2.3.256"},
+        {"host": "1.2.3"},
+    ],
+)
 def test_an_unsound_peer_is_no_member(bad):
     made = machine("p1")
     unsound = msgspec.structs.replace(peer("p5"), **bad)
@@ -124,9 +150,11 @@
 
 # --- Words against words.
 
+
 @pytest.mark.parametrize("ill", [SUSPECT, FAILED, LEFT])
-@pytest.mark.parametrize(("said", "risen"), [
-    (0, 1), (41, 42), (HIGHEST - 1, HIGHEST), (HIGHEST, 0), (-1, 0), (1 << 62, 0)])
+@pytest.mark.parametrize(
+    ("said", "risen"), [(0, 1), (41, 42), (HIGHEST - 1, HIGHEST), (HIGHEST, 0), (-1, 0), (1 << 62, 0)]
+)
 def test_ill_words_of_me_are_refuted_by_a_higher_incarnation_that_is_bounded(ill, said, risen):
     made = machine("p1")
     say(made, 1.0, Rumour(peer("p0"), ill, said))
@@ -198,6 +226,7 @@
 
 # --- Questions and answers.
 
+
 def probe(made):
     """The next probe's post and time."""
     while True:
@@ -236,7 +265,7 @@
     made = machine("p1", "p2")
     for at, answered in ((1.0, True), (3.0, False)):
         run(made, at)
-        ping, = posts(made.receive(at, PingFor(peer("p1"), 0, 77, target="p2~1")), Ping)
+        (ping,) = posts(made.receive(at, PingFor(peer("p1"), 0, 77, target="p2~1")), Ping)
         assert ping.to == ping.packet.to == "p2~1" and ping.packet.number != 77
         if answered:
             out = made.receive(at + 0.2, Ack(peer("p2"), 0, ping.packet.number, target="p2~1"))
@@ -255,7 +284,7 @@
     made = machine("p1", "p2")
     assert not posts(made.receive(1.0, Ping(peer("p1"), 0, 5, to="p0~other")))
     say(made, 1.0, Rumour(peer("p1"), SUSPECT, 0), by="p2")
-    answer, = posts(made.receive(1.1, Ping(peer("p1"), 0, 5, to="p0~1")), Ack)
+    (answer,) = posts(made.receive(1.1, Ping(peer("p1"), 0, 5, to="p0~1")), Ack)
     assert answer.packet.rumours[0] == Rumour(peer("p1"), SUSPECT, 0)
 
 
@@ -271,6 +300,7 @@
 
 # --- Time, size, bounds.
 
+
 def test_suspicion_shrinks_with_each_independent_finding():
     told = Suspicion(0.0, 100, MembersSettings(), "p1")
     times = [told.until()]
@@ -319,9 +349,22 @@
 
 # --- Stories.
 
-@pytest.mark.parametrize(("story", "size", "seed"), [
-    ("crash", 8, 1), ("cut", 9, 2), ("one-way", 9, 3), ("returns", 7, 4), ("twin", 8, 5), ("lies", 8, 6),
-    ("forget", 8, 7), ("all", 8, 8), ("idle", 3, 9), ("slow", 4, 10)])
+
+@pytest.mark.parametrize(
+    ("story", "size", "seed"),
+    [
+        ("crash", 8, 1),
+        ("cut", 9, 2),
+        ("one-way", 9, 3),
+        ("returns", 7, 4),
+        ("twin", 8, 5),
+        ("lies", 8, 6),
+        ("forget", 8, 7),
+        ("all", 8, 8),
+        ("idle", 3, 9),
+        ("slow", 4, 10),
+    ],
+)
 def test_a_story_keeps_every_check(story, size, seed):
     assert STORIES[story](seed, size, MembersSettings(), Swim)["broken"] == {}
 
