--- a/tests/test_cluster_node.py
+++ b/tests/test_cluster_node.py
@@ -21,7 +21,7 @@
 from linkdock.cluster.node import Node, open_node
 from linkdock.cluster.wire import Answered, Keep, Seal
 
-LIMIT = 10.0   # seconds within which each thing must have come about
+LIMIT = 10.0  # seconds within which each thing must have come about
 
 
 async def until(true, what=""):
@@ -42,9 +42,20 @@
             state = self.folder / f"n{n}"
             state.mkdir(exist_ok=True)
             seeds = [f"127.0.0.1:{node.members.me.port}" for node in self.nodes.values()]
-            text = json.dumps({"on": True, "key": "the key of this fleet", "zone": f"z{n}", "seeds": seeds,
-                               "founders": [f"n{k}" for k in range(founders)], "heartbeat_ms": 30,
-                               "election_ms": 300, "probe_ms": 100, "replace_s": 0.5, **more})
+            text = json.dumps(
+                {
+                    "on": True,
+                    "key": "the key of this fleet",
+                    "zone": f"z{n}",
+                    "seeds": seeds,
+                    "founders": [f"n{k}" for k in range(founders)],
+                    "heartbeat_ms": 30,
+                    "election_ms": 300,
+                    "probe_ms": 100,
+                    "replace_s": 0.5,
+                    **more,
+                }
+            )
             node = open_node(text.encode(), SimpleNamespace(name=f"n{n}", state=state), asyncio.get_running_loop())
             self.nodes[n] = node
         return [self.nodes[n] for n in numbers]
@@ -75,6 +86,7 @@
 
 def story(play):
     """A test whose story runs in a loop of its own; all is given back, and no task is left."""
+
     def run(tmp_path):
         async def whole():
             fleet = Fleet(tmp_path)
@@ -83,7 +95,9 @@
             finally:
                 await fleet.close()
             assert len(asyncio.all_tasks()) == 1
+
         asyncio.run(whole())
+
     run.__name__ = play.__name__
     return run
 
@@ -101,13 +115,13 @@
     await fleet.nodes.pop(gone).close()
     left = list(fleet.nodes.values())
     assert isinstance(await left[0].propose(Put("after", b"v")), Done)
-    assert [node.engine.core._handed_over for node in left if node.engine.core.leading] == [True]   # no time-out
+    assert [node.engine.core._handed_over for node in left if node.engine.core.leading] == [True]  # no time-out
     await until(lambda: left[0].engine.state.image() == left[1].engine.state.image())
     assert set(left[0].engine.state.register) == {"k0", "k1", "k2", "after"}
     leader = fleet.nodes[fleet.leader]
     await until(lambda: leader.read().fresh)
     assert all(seen[n] == sorted(set(seen[n])) for n in seen)
-    back, = fleet.start(gone)
+    (back,) = fleet.start(gone)
     await until(lambda: back.engine.index >= leader.engine.index and back.read().age < 1)
     assert back.engine.state.image() == leader.engine.state.image()
     assert isinstance(await back.propose(Put("back", b"v")), Done)
@@ -120,7 +134,7 @@
     old = nodes[0].id
     await fleet.kill(0)
     shutil.rmtree(fleet.folder / "n0")
-    new, = fleet.start(0)
+    (new,) = fleet.start(0)
     assert new.id != old and name_of(new.id) == "n0"
     await until(lambda: new.id in new.engine.core.config.voters and old not in new.engine.core.config.voters)
     await until(lambda: len(nodes[1].engine.core.config.voters) == 3)
@@ -138,18 +152,18 @@
     held = await stopped.acquire("shard", 0.4)
     first = held.until
     fence.check("shard", held.token, stopped.id)
-    await until(lambda: held.until > first and held.holds(stopped.clock()))   # it was renewed
+    await until(lambda: held.until > first and held.holds(stopped.clock()))  # it was renewed
     at = stopped.clock()
-    stopped.holding._clock = lambda: at                                       # its time stands still from here on
+    stopped.holding._clock = lambda: at  # its time stands still from here on
     stopped.links.close()
     third = next(node for node in nodes if node not in (stopped, other))
-    other.engine.core.hand_over(other.clock(), third.id)   # whoever leads then has to end it
+    other.engine.core.hand_over(other.clock(), third.id)  # whoever leads then has to end it
     other.engine.wake()
     await until(lambda: third.engine.core.leading)
     await until(lambda: "shard" not in other.engine.state.leases)
     took = await other.acquire("shard", 0.4)
-    assert not held.holds(other.clock()) and took.token > held.token          # by true time they do not overlap
-    assert held.holds(stopped.holding._clock())                               # it believes it all the same
+    assert not held.holds(other.clock()) and took.token > held.token  # by true time they do not overlap
+    assert held.holds(stopped.holding._clock())  # it believes it all the same
     fence.check("shard", took.token, other.id)
     with pytest.raises(Fenced):
         fence.check("shard", held.token, stopped.id)
@@ -185,12 +199,13 @@
 
     def losing(to, message):
         if isinstance(message, Answered) and len(lost) < 1:
-            lost.append(message)   # instead of it comes one to an earlier run of the same process
+            lost.append(message)  # instead of it comes one to an earlier run of the same process
             send(to, Answered(asker.id + "#earlier", message.number, encode(Taken("x", 1))))
         else:
             send(to, message)
+
     leader.links.send = leader.engine._send = leader._proposals._send = losing
-    asker.engine.applied = lambda asked, answer: None   # nor does it learn it from the entry
+    asker.engine.applied = lambda asked, answer: None  # nor does it learn it from the entry
     held = await asker.acquire("a", 20.0, LIMIT)
     assert len(lost) == 1 and leader.engine.state.leases["a"].token == held.token
     assert leader.engine.state.leases["a"].renewed == held.token < leader.engine.index
@@ -252,11 +267,12 @@
             began = time.monotonic()
             await asyncio.sleep(0.002)
             longest = max(longest, time.monotonic() - began)
+
     looking = asyncio.ensure_future(look())
     await asyncio.gather(*(nodes[n % 3].propose(Put(f"k{n}", bytes(10000)), LIMIT) for n in range(30)))
     over = True
     await looking
-    assert longest < 0.04   # one write takes as long
+    assert longest < 0.04  # one write takes as long
 
 
 @story
@@ -269,14 +285,14 @@
         assert max(node.engine.storage.used for node in nodes) <= 1_500_000
     assert all(node.engine.core.image.index > 20 for node in nodes)
     flood = [node.propose(Put(f"f{n % 5}", bytes([n]) * 16000), LIMIT) for n in range(60) for node in nodes]
-    assert all(isinstance(answer, Done) for answer in await asyncio.gather(*flood))   # some had to wait
+    assert all(isinstance(answer, Done) for answer in await asyncio.gather(*flood))  # some had to wait
     assert not any(node.failed for node in nodes)
-    late, = fleet.start(3)
+    (late,) = fleet.start(3)
     leader = nodes[fleet.leader]
     await until(lambda: late.engine.index == leader.engine.index > 100)
     assert late.engine.state.image() == leader.engine.state.image()
     await fleet.kill(3)
-    late, = fleet.start(3)   # from its own folder
+    (late,) = fleet.start(3)  # from its own folder
     assert late.engine.core.image.index > 20
     assert isinstance(await late.propose(Put("k", b"v"), LIMIT), Done)
 
@@ -290,12 +306,14 @@
     storage._most, storage._part = 400_000, 60_000
 
     def slowly(*given):
-        time.sleep(0.1)   # on the disk's thread: meanwhile more comes than has room
+        time.sleep(0.1)  # on the disk's thread: meanwhile more comes than has room
         write(*given)
+
     storage.write = slowly
     for n in range(8):
-        answers = await asyncio.gather(*(nodes[fleet.leader].propose(Put(f"k{m % 5}", bytes([n]) * 9000), LIMIT)
-                                         for m in range(30)))
+        answers = await asyncio.gather(
+            *(nodes[fleet.leader].propose(Put(f"k{m % 5}", bytes([n]) * 9000), LIMIT) for m in range(30))
+        )
         assert all(isinstance(answer, Done) for answer in answers)
     storage.write = write
     await until(lambda: follower.failed or follower.engine.index == nodes[fleet.leader].engine.index)
@@ -305,7 +323,7 @@
 
 @story
 async def test_strangers_and_silent_connections_are_closed_and_counted(fleet):
-    node, = fleet.start(0, founders=1)
+    (node,) = fleet.start(0, founders=1)
     port = node.members.me.port
     for said in (b"GET / HTTP/1.1\r\n\r\n", (500).to_bytes(4, "big") + bytes(500), bytes(4)):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -315,8 +333,8 @@
     assert node.links.count["foreign"] == 3
     silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(links.MOST_STRANGERS + 5)]
     await until(lambda: len(node.links._accepted) == links.MOST_STRANGERS)
-    assert await asyncio.wait_for(silent[0][0].read(), 1) == b""      # the oldest made room
-    assert await asyncio.wait_for(silent[-1][0].read(), 3) == b""     # in time all are found to say nothing
+    assert await asyncio.wait_for(silent[0][0].read(), 1) == b""  # the oldest made room
+    assert await asyncio.wait_for(silent[-1][0].read(), 3) == b""  # in time all are found to say nothing
     for _, writer in silent:
         writer.close()
     assert isinstance(await node.propose(Put("k", b"v")), Done)
@@ -335,13 +353,21 @@
         dialled.append(session.peer)
         await over.wait()
         writer.close()
+
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     where, tasks = server.sockets[0].getsockname()[:2], []
     patch.setattr(links, "SILENCE", 0.2)
     patch.setattr(links, "KEEP", 0.05)
-    one = links.Links(Seal("the key", "c", "a~1"), links.bind("127.0.0.1", 0), lambda peer: where, None, None,
-                      lambda work: tasks.append(asyncio.ensure_future(work)) or tasks[-1],
-                      asyncio.get_running_loop().time, random.Random(1))
+    one = links.Links(
+        Seal("the key", "c", "a~1"),
+        links.bind("127.0.0.1", 0),
+        lambda peer: where,
+        None,
+        None,
+        lambda work: tasks.append(asyncio.ensure_future(work)) or tasks[-1],
+        asyncio.get_running_loop().time,
+        random.Random(1),
+    )
     tasks.append(asyncio.ensure_future(one.sweep()))
     for _ in range(links.MOST_QUEUE + 44):
         one.send("b~1", Keep())
@@ -360,7 +386,7 @@
 
 @story
 async def test_one_that_finds_its_folder_in_use_takes_part_once_it_is_free(fleet):
-    first, = fleet.start(0, founders=1)
+    (first,) = fleet.start(0, founders=1)
     await until(lambda: first.engine.core.leading)
     second = Node(first.settings, "n0", fleet.folder / "n0" / "cluster", asyncio.get_running_loop())
     second.start()
--- a/tests/test_cluster_places.py
+++ b/tests/test_cluster_places.py
@@ -29,7 +29,7 @@
     me = min(view)
     config = Config((me,))
     lost = set()
-    for _ in range(3):   # some fail, some come again without their folder; the rest must come to rest each time
+    for _ in range(3):  # some fail, some come again without their folder; the rest must come to rest each time
         for step in range(60):
             caught_up = [peer_id for peer_id in config.learners if draw.random() < 0.6 or step > 40]
             new = who_votes(view, config, me, wanted, lost, caught_up)
@@ -51,7 +51,7 @@
         spread = {zone: sum(view[v].peer.zone == zone for v in config.voters) for zone in free}
         assert not free or max(held) - min(spread.values()) < 2
         others = [v for v in config.voters if v != me]
-        for peer_id in others[:(len(config.voters) - 1) // 2]:
+        for peer_id in others[: (len(config.voters) - 1) // 2]:
             if draw.random() < 0.7 and len(alive) - len(config.voters) >= wanted:
                 view[peer_id] = Rumour(view[peer_id].peer, Standing.FAILED, 1)
                 lost.add(peer_id)
@@ -64,17 +64,28 @@
     config = Config(("a~1", "b~1", "c~1"), ("d~1",))
     assert who_votes(view, config, "a~1", 3, (), ["d~1"]) is None
     assert who_votes(view, config, "a~1", 3, {"b~1"}, ["d~1"]) == Config(("a~1", "c~1"), ("d~1",))
-    assert who_votes(view, config, "a~1", 3, {"b~1"}, ()) is None   # nobody to come for it
+    assert who_votes(view, config, "a~1", 3, {"b~1"}, ()) is None  # nobody to come for it
     view.update([member("c", "z", Standing.FAILED)])
     assert who_votes(view, config, "a~1", 3, {"b~1", "c~1"}, ["d~1"]) is None
 
 
-@pytest.mark.parametrize("text, named", [
-    ('{"listen": "no port"}', "listen"), ('{"seeds": ["a:99999"]}', "seeds"), ('{"voters": 4}', "voters"),
-    ('{"heartbeat_ms": 400}', "election_ms"), ('{"founders": ["a", "a"]}', "founders"), ('{"on": true}', "key_file"),
-    ('{"key": "short"}', "key"), ('{"routes": {"a": ":1"}}', "routes"),
-    ('{"seeds": ["1.2.3.256:1"]}', "seeds"), ('{"listen": "0.0.0.0:1"}', "advertise"),
-    ('{"cap": 3}', "cap"), ("[", "cluster.json")])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"listen": "no port"}', "listen"),
+        ('{"seeds": ["a:99999"]}', "seeds"),
+        ('{"voters": 4}', "voters"),
+        ('{"heartbeat_ms": 400}', "election_ms"),
+        ('{"founders": ["a", "a"]}', "founders"),
+        ('{"on": true}', "key_file"),
+        ('{"key": "short"}', "key"),
+        ('{"routes": {"a": ":1"}}', "routes"),
+        ('{"seeds": ["1.2.3.256:1"]}', "seeds"),
+        ('{"listen": "0.0.0.0:1"}', "advertise"),
+        ('{"cap": 3}', "cap"),
+        ("[", "cluster.json"),
+    ],
+)
 def test_settings_that_cannot_be_right_are_named(text, named):
     with pytest.raises(OptionError) as bad:
         settings.read(text.encode())
--- a/tests/test_cluster_storage.py
+++ b/tests/test_cluster_storage.py
@@ -37,9 +37,11 @@
             if self.left < 0 and not self.error:
                 raise Crash
 
-    def make_folder(self, folder): pass
+    def make_folder(self, folder):
+        pass
 
-    def lock(self, file): pass
+    def lock(self, file):
+        pass
 
     def open(self, path, make=False):
         if path.name not in self.names_now:
@@ -55,12 +57,13 @@
         else:
             self.names_now[name] = node
 
-    def read(self, file, size, at): return bytes(self.open_files[file][0][at:at + size])
+    def read(self, file, size, at):
+        return bytes(self.open_files[file][0][at : at + size])
 
     def write(self, file, data, at):
-        data = data[:1 + len(data) // 2]   # never all at once
+        data = data[: 1 + len(data) // 2]  # never all at once
         self._step()
-        self.open_files[file][0][at:at + len(data)] = data
+        self.open_files[file][0][at : at + len(data)] = data
         return len(data)
 
     def truncate(self, file, size):
@@ -72,7 +75,8 @@
         self._step()
         self.open_files[file][1] = len(self.open_files[file][0])
 
-    def close(self, file): pass
+    def close(self, file):
+        pass
 
     def rename(self, old, new):
         self._step()
@@ -83,7 +87,8 @@
         self._step()
         self._name(path.name, None)
 
-    def names(self, folder): return list(self.names_now)
+    def names(self, folder):
+        return list(self.names_now)
 
     def sync_folder(self, folder):
         self._step()
@@ -92,11 +97,11 @@
     def after_crash(self, draw):
         """What was not made sure of is there or not: names in their order, data up to any byte, or as zeros."""
         names = dict(self.sure)
-        for name, node in self.pending[:draw.randrange(len(self.pending) + 1)]:
+        for name, node in self.pending[: draw.randrange(len(self.pending) + 1)]:
             names.pop(name, None) if node is None else names.update({name: node})
         found = {}
         for name, (data, sure) in names.items():
-            kept = data[:draw.randrange(sure, len(data) + 1)]
+            kept = data[: draw.randrange(sure, len(data) + 1)]
             if draw.random() < 0.2:
                 kept = data[:sure] + bytes(len(kept) - sure)
             found[name] = [bytearray(kept), len(kept)]
@@ -164,7 +169,7 @@
         disk, old, new = Disk(left=left), Stored(), Stored()
         try:
             storage = opened(disk)
-            for call, arguments, new in steps:   # noqa: B007
+            for call, arguments, new in steps:  # noqa: B007
                 getattr(storage, call)(*arguments)
                 old = new
         except Crash:
@@ -189,10 +194,15 @@
     """A log of one file, and after each of its records the size and what is stored."""
     storage, sizes = opened(disk), []
     sizes.append((storage._size, Stored()))
-    for vote, new in ((Vote(1, "a~1"), ()), (None, entries(1, 3, 1)), (Vote(2), entries(3, 4, 2, 90)),
-                      (None, (Entry(5, 2, Kind.COMMAND, bytes(40)),)), (Vote(3, "b~1"), entries(6, 6, 2))):
+    for vote, new in (
+        (Vote(1, "a~1"), ()),
+        (None, entries(1, 3, 1)),
+        (Vote(2), entries(3, 4, 2, 90)),
+        (None, (Entry(5, 2, Kind.COMMAND, bytes(40)),)),
+        (Vote(3, "b~1"), entries(6, 6, 2)),
+    ):
         held = tuple(e for e in sizes[-1][1].entries if not new or e.index < new[0].index) + new
-        if vote is not None and new:   # two records, so there is a state between
+        if vote is not None and new:  # two records, so there is a state between
             storage._write(None, new, None)
             sizes.append((storage._size, Stored(sizes[-1][1].vote, None, held)))
             new = ()
@@ -255,7 +265,7 @@
         disk, old, new, storage = Disk(left=left, error=error), Stored(), Stored(), None
         try:
             storage = opened(disk)
-            for call, arguments, new in steps:   # noqa: B007
+            for call, arguments, new in steps:  # noqa: B007
                 getattr(storage, call)(*arguments)
                 old = new
         except StorageFailed as bad:
@@ -296,8 +306,11 @@
         if storage.wants_image(index):
             storage.compact(image(index, 1))
             assert not storage.wants_image(index)
-        assert storage.used == sum(len(node[0]) for name, node in disk.names_now.items() if name != "identity"
-                                   and name != "lock") <= 200_000
+        assert (
+            storage.used
+            == sum(len(node[0]) for name, node in disk.names_now.items() if name != "identity" and name != "lock")
+            <= 200_000
+        )
     with pytest.raises(StorageFailed):
         for _ in range(400):
             storage.write(None, entries(index + 1, index + 3, 1, 500), None)
@@ -308,7 +321,7 @@
 def test_an_image_is_wanted_again_where_the_last_one_could_give_nothing_back():
     disk, index = Disk(), 0
     storage = opened(disk, 200_000)
-    storage._part = 10**9   # one file: what is not applied yet keeps all of it
+    storage._part = 10**9  # one file: what is not applied yet keeps all of it
     while storage.room > 20_000:
         index += 1
         storage.write(None, entries(index, index, 1, 5000), None)
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -45,12 +45,12 @@
     one, two, three = a.frame(Voted(1, True)), a.frame(Voted(2, True)), a.frame(Voted(3, True))
     b.read(one[4:])
     refuse(b.read, one[4:])
-    b.read(three[4:])          # one that was dropped between is no fault; one that comes back is
+    b.read(three[4:])  # one that was dropped between is no fault; one that comes back is
     refuse(b.read, two[4:])
     again = Seal(KEY, "c", "b~1").accept()
-    again.greeted(there[4:])   # the recorded greeting is in order, and gets nowhere
+    again.greeted(there[4:])  # the recorded greeting is in order, and gets nowhere
     refuse(again.read, one[4:])
-    refuse(a.read, one[4:])    # nor does what it said itself come back to it
+    refuse(a.read, one[4:])  # nor does what it said itself come back to it
 
 
 def test_another_key_cluster_receiver_or_sender_is_refused():
@@ -58,8 +58,8 @@
         refuse(lambda other=other: pair(**other))
     refuse(Seal(KEY, "c", "b~1").accept().greeted, Seal(KEY, "c", "a~1").dial("b~2").hello()[4:])
     a, back = Seal(KEY, "c", "a~1").dial("b~1"), pair()[3]
-    refuse(a.greeted, back[4:])            # an answer to another greeting
-    refuse(a.greeted, a.hello()[4:])       # its own greeting
+    refuse(a.greeted, back[4:])  # an answer to another greeting
+    refuse(a.greeted, a.hello()[4:])  # its own greeting
     accepted = Seal(KEY, "c", "b~1").accept()
     refuse(accepted.greeted, pair()[3][4:])
     elsewhere, b = Seal(KEY, "c", "x~1").dial("b~1"), Seal(KEY, "c", "b~1").accept()
@@ -77,7 +77,7 @@
     reader = Seal(KEY, "c", "b~1")
     for data, read in ((frame, b.read), (datagram, reader.read_datagram), (there[4:], reader.accept().greeted)):
         for at in range(len(data)):
-            refuse(read, data[:at] + bytes([data[at] ^ 1]) + data[at + 1:])
+            refuse(read, data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
             refuse(read, data[:at])
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -46,12 +46,12 @@
 
 
 def test_idle_ones_beyond_those_kept_go_the_longest_idle_first():
-    door = Door(100, 40)   # 10 may lie idle
+    door = Door(100, 40)  # 10 may lie idle
     places = [with_message(door, n * 0.01) for n in range(15)]
     now = 0.15 + REST
     assert door.too_many(now) == places[:5]
     door.put(places[0], BUSY, now)
-    door.put(places[0], IDLE, now)   # used again: now the youngest
+    door.put(places[0], IDLE, now)  # used again: now the youngest
     assert door.too_many(now) == places[1:6]
     assert Door(100, 40).too_many(now) == []
 
--- a/tests/test_dormancy.py
+++ b/tests/test_dormancy.py
@@ -21,10 +21,25 @@
 
 
 def settings(**more):
-    return i.Settings(**{**dict(
-        classes=[i.MessageClass(i.Effect.SAFE, 0.8, 6.0), i.MessageClass(i.Effect.UNSAFE, 4.0, 16.0)],
-        kinds=[i.DestinationKind()], slots=50, max_open=1000, max_attempts=5, retry_after=True, max_retry_after=3.0,
-        fall_multiple=1.5, tip_after=2.0, cold_share=0.3, cold_time=10.0, told_weights=False), **more})
+    return i.Settings(
+        **{
+            **dict(
+                classes=[i.MessageClass(i.Effect.SAFE, 0.8, 6.0), i.MessageClass(i.Effect.UNSAFE, 4.0, 16.0)],
+                kinds=[i.DestinationKind()],
+                slots=50,
+                max_open=1000,
+                max_attempts=5,
+                retry_after=True,
+                max_retry_after=3.0,
+                fall_multiple=1.5,
+                tip_after=2.0,
+                cold_share=0.3,
+                cold_time=10.0,
+                told_weights=False,
+            ),
+            **more,
+        }
+    )
 
 
 class Rig:
@@ -56,8 +71,19 @@
 
     def end(self, send, result=i.Result.OK, after=0.1, wait=0.0, report=None, elapsed=None):
         attempt = sum(1 for s in self.sent if s.id == send.id) - 1
-        return self.step(i.Outcome(send.id, attempt, send.host, result, after if elapsed is None else elapsed,
-                                   result is i.Result.OK, wait, report), after=after)
+        return self.step(
+            i.Outcome(
+                send.id,
+                attempt,
+                send.host,
+                result,
+                after if elapsed is None else elapsed,
+                result is i.Result.OK,
+                wait,
+                report,
+            ),
+            after=after,
+        )
 
     def sleep(self, seconds=AFTER + 1):
         self.step(after=seconds)
@@ -91,9 +117,9 @@
     rig.sleep()
     [first] = rig.ask()
     assert rig.ask() == [] and rig.ask(after=0.05) == []
-    assert rig.link().route.limit == pytest.approx(40.0, rel=0.01)   # a prior
+    assert rig.link().route.limit == pytest.approx(40.0, rel=0.01)  # a prior
     sends = rig.end(first, report=i.Report(0.9, 3.0))
-    assert rig.link().route.limit == 3.0                             # and the first report overrides it
+    assert rig.link().route.limit == 3.0  # and the first report overrides it
     assert len(sends) <= 1
 
 
@@ -105,7 +131,7 @@
             rig.end(send, after=0.01, report=i.Report(0.9, 40.0))
     rig.sleep()
     calls, out = [], []
-    for n in range(200):   # a clump of messages in two seconds
+    for n in range(200):  # a clump of messages in two seconds
         for send in rig.ask(after=0.01) if n < 30 else rig.step(after=0.01):
             calls.append(rig.now)
             out.append((rig.now + 0.1, send))
@@ -120,14 +146,14 @@
 def test_a_stop_in_force_comes_back_as_suspicion_and_its_answer_begins_a_cold_return():
     rig = Rig()
     while rig.relay.links.get("h0") is None or rig.link().down_at is None:
-        sends = rig.ask(cls=1, after=0.1)   # each ends by its failure: it may not be repeated
+        sends = rig.ask(cls=1, after=0.1)  # each ends by its failure: it may not be repeated
         while sends:
             sends = sends[1:] + rig.end(sends[0], i.Result.RESET, after=0.01)
     rig.step(after=20.0)
     rig.sleep()
     assert not rig.relay.dests
     [trial] = rig.ask()
-    assert rig.ask() == [] and rig.link().down_at is not None   # one trial, and no second beside it
+    assert rig.ask() == [] and rig.link().down_at is not None  # one trial, and no second beside it
     rig.end(trial)
     assert rig.link().down_at is None and rig.link().ramp is not None
 
@@ -149,7 +175,7 @@
     [send] = rig.ask()
     rig.end(send, i.Result.FULL, wait=AFTER + 30.0)
     rig.sleep()
-    assert not rig.relay.dests and rig.final   # what waited was given up in time
+    assert not rig.relay.dests and rig.final  # what waited was given up in time
     assert rig.ask(left=600.0) == []
     assert rig.step(after=20.0) == [] and rig.step(after=9.5) != []
 
@@ -158,7 +184,7 @@
     shown = {}
     for gap in (AFTER + 1, 600.0, 20_000.0):
         rig = Rig()
-        for destination, took in ((0, 0.5), (1, 0.05)):   # the second makes the class's usual figures
+        for destination, took in ((0, 0.5), (1, 0.05)):  # the second makes the class's usual figures
             for _ in range(60):
                 for send in rig.ask(destination, after=0.6):
                     rig.end(send, after=took, report=i.Report(0.9, 40.0))
@@ -230,13 +256,15 @@
 
 
 def test_bytes_that_are_no_memory_are_refused():
-    luck, data = random.Random(1), m.pack(m.Facts(1.0, 1.0, 0.0, {"h0": m.LinkFacts(
-        False, 0.0, 0.0, 1.0, 1.0, 0.1, 0.0, [(0.1, 0.0, 0.2)] * 2)}))
+    luck, data = (
+        random.Random(1),
+        m.pack(m.Facts(1.0, 1.0, 0.0, {"h0": m.LinkFacts(False, 0.0, 0.0, 1.0, 1.0, 0.1, 0.0, [(0.1, 0.0, 0.2)] * 2)})),
+    )
     for _ in range(500):
         bad = bytearray(data)
         bad[luck.randrange(len(bad))] = luck.randrange(256)
         try:
-            m.unpack(bytes(bad[:luck.randint(0, len(bad))]), 2)
+            m.unpack(bytes(bad[: luck.randint(0, len(bad))]), 2)
         except ValueError:
             pass
 
@@ -247,8 +275,9 @@
 
 
 def facts(at, wait=0.0):
-    return m.pack(m.Facts(at, 3.0, 0.0, {"h0": m.LinkFacts(False, wait, at, 40.0, 1.0, 0.05, 0.0,
-                                                             [(0.1, 0.0, 0.2)] * 2)}))
+    return m.pack(
+        m.Facts(at, 3.0, 0.0, {"h0": m.LinkFacts(False, wait, at, 40.0, 1.0, 0.05, 0.0, [(0.1, 0.0, 0.2)] * 2)})
+    )
 
 
 def shot(rows, now=500.0, unix=1e9, mark=MARK):
@@ -257,7 +286,7 @@
 
 def test_a_snapshot_comes_back_on_the_next_lifes_clock():
     data = shot([(7, facts(490.0, wait=530.0)), (8, facts(400.0))])
-    rows = dict(s.read(data, MARK, 2, now=20.0, unix=1e9 + 5.0))   # 5 s later, by another clock
+    rows = dict(s.read(data, MARK, 2, now=20.0, unix=1e9 + 5.0))  # 5 s later, by another clock
     known, links = m.unpack(rows[7], 2)
     assert known.at == pytest.approx(20.0 - 5.0 - 10.0)
     assert links[m.mark("h0")].wait_until == pytest.approx(20.0 - 5.0 + 30.0)
@@ -280,10 +309,18 @@
     assert max(map(len, pieces)) < 10_000 and len(list(s.read(b"".join(pieces), MARK, 2, 1.0, 1e9))) == 20_000
 
 
-@pytest.mark.parametrize("name, change", [
-    ("torn", lambda d: d[:-7]), ("torn", lambda d: d[:10]), ("no snapshot", lambda d: b"PNG" + d[3:]),
-    ("version 2", lambda d: again(d[:8] + struct.pack("<H", 2) + d[10:])), ("torn", lambda d: d[:50] + b"x" + d[51:]),
-    ("classes", lambda d: again(d[:10] + struct.pack("<I", 9) + d[14:])), ("torn", lambda d: b"")])
+@pytest.mark.parametrize(
+    "name, change",
+    [
+        ("torn", lambda d: d[:-7]),
+        ("torn", lambda d: d[:10]),
+        ("no snapshot", lambda d: b"PNG" + d[3:]),
+        ("version 2", lambda d: again(d[:8] + struct.pack("<H", 2) + d[10:])),
+        ("torn", lambda d: d[:50] + b"x" + d[51:]),
+        ("classes", lambda d: again(d[:10] + struct.pack("<I", 9) + d[14:])),
+        ("torn", lambda d: b""),
+    ],
+)
 def test_a_snapshot_that_is_torn_foreign_or_of_another_version_is_refused(name, change):
     with pytest.raises(s.SnapshotError, match=name):
         list(s.read(change(shot([(7, facts(1.0))])), MARK, 2, 1.0, 1e9))
@@ -302,10 +339,17 @@
 
 # --- Settings.
 
-@pytest.mark.parametrize("text, named", [
-    ('{"on": true, "after_s": 0}', "$.after_s"), ('{"on": true, "most_kept": "all"}', "$.most_kept"),
-    ('{"on": true, "sleep": 3}', "sleep"), ('{"on": true, "snapshot": 1}', "$.snapshot"),
-    ('{"on": true, "snapshot": true, "snapshot_mb": 1}', "snapshot_mb must be at most 0.15")])
+
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"on": true, "after_s": 0}', "$.after_s"),
+        ('{"on": true, "most_kept": "all"}', "$.most_kept"),
+        ('{"on": true, "sleep": 3}', "sleep"),
+        ('{"on": true, "snapshot": 1}', "$.snapshot"),
+        ('{"on": true, "snapshot": true, "snapshot_mb": 1}', "snapshot_mb must be at most 0.15"),
+    ],
+)
 def test_a_wrong_key_is_named(text, named):
     with pytest.raises(OptionError) as bad:
         shape.read(text.encode(), 3_000_000)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -28,7 +28,7 @@
 def classes() -> list[type[LinkdockError]]:
     """Every subclass in linkdock, by code."""
     for module in pkgutil.walk_packages(linkdock.__path__, "linkdock."):
-        if not module.name.endswith("__main__"):   # importing those runs them
+        if not module.name.endswith("__main__"):  # importing those runs them
             importlib.import_module(module.name)
     found, left = [], [LinkdockError]
     while left:
@@ -53,7 +53,7 @@
     codes = [one.code for one in classes()]
     assert len(codes) > 20 and sorted(set(codes)) == codes
     for one in classes():
-        assert {"code", "what", "remedy"} <= set(vars(one)), one   # none is that of its base
+        assert {"code", "what", "remedy"} <= set(vars(one)), one  # none is that of its base
         assert re.fullmatch(r"LD(-[A-Z]+){1,2}", one.code), one
         assert re.fullmatch(r"[A-Z][a-z][^|\n]{15,}[^.|\n]", one.remedy) and ". " not in one.remedy, one
         assert re.fullmatch(r"[^|\n]{15,}[^.|\n]", one.what) and one.__doc__, one
@@ -71,6 +71,7 @@
     def is_one(name: str) -> bool:
         known = getattr(builtins, name, None)
         return isinstance(known, type) and issubclass(known, BaseException) or name.endswith(("Error", "Exception"))
+
     kinds, before = set(), -1
     while len(kinds) > before:
         before, names = len(kinds), {name for _, name in kinds}
@@ -93,29 +94,45 @@
     assert isinstance(bad, ValueError) and str(bad) == "seed is\nmissing"
     assert log_line(bad) == "LD-CONFIG: seed is missing; correct what the line names, and start or reload again"
     assert exit_line(bad) == "seed is missing (LD-CONFIG: Correct what the line names, and start or reload again)"
-    assert str(OptionError()) == OptionError.what   # one without a text is not told as nothing
+    assert str(OptionError()) == OptionError.what  # one without a text is not told as nothing
     assert log_line(OSError("disk\nfull")) == exit_line(OSError("disk\nfull")) == "disk full"
 
 
-@pytest.mark.parametrize("told_to, begins", [
-    ({}, "linkdock: RELAY_CONFIG is not set (LD-CONFIG: "),
-    ({"RELAY_CONFIG": "none\nthere", "RELAY_STATE": "/"}, "linkdock: RELAY_CONFIG: none there: ")])
+@pytest.mark.parametrize(
+    "told_to, begins",
+    [
+        ({}, "linkdock: RELAY_CONFIG is not set (LD-CONFIG: "),
+        ({"RELAY_CONFIG": "none\nthere", "RELAY_STATE": "/"}, "linkdock: RELAY_CONFIG: none there: "),
+    ],
+)
 def test_a_start_that_fails_says_why_the_code_and_the_remedy_in_one_line(told_to, begins):
     plain = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-    done = subprocess.run([sys.executable, "-m", "linkdock"], cwd=ROOT, capture_output=True, text=True, timeout=20,
-                          env={**plain, **told_to})
+    done = subprocess.run(
+        [sys.executable, "-m", "linkdock"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env={**plain, **told_to},
+    )
     assert done.returncode == 2 and done.stderr.startswith(begins) and done.stderr.count("\n") == 1
     assert done.stderr.endswith(f"(LD-CONFIG: {ConfigError.remedy})\n")
 
 
-@pytest.mark.parametrize("words, code", [
-    (["audit", "FILE"], "LD-RECORDS-READ"), (["clients", "FILE"], "LD-STATE-FILE"),
-    (["undeliverable", "show", "FILE", "aa01"], "LD-STORE"), (["lab", "fleet", "--plan", "FILE"], "LD-LAB-PLAN"),
-    (["audit", "/dev/null"], "LD-COMMAND-NOTHING"),
-    (["undeliverable", "resolve", "FILE", "aa01", "--why", "x"], "LD-COMMAND-USE")])
+@pytest.mark.parametrize(
+    "words, code",
+    [
+        (["audit", "FILE"], "LD-RECORDS-READ"),
+        (["clients", "FILE"], "LD-STATE-FILE"),
+        (["undeliverable", "show", "FILE", "aa01"], "LD-STORE"),
+        (["lab", "fleet", "--plan", "FILE"], "LD-LAB-PLAN"),
+        (["audit", "/dev/null"], "LD-COMMAND-NOTHING"),
+        (["undeliverable", "resolve", "FILE", "aa01", "--why", "x"], "LD-COMMAND-USE"),
+    ],
+)
 def test_a_command_that_refuses_says_the_code_and_the_remedy(tmp_path, words, code):
     done = CliRunner().invoke(cli, [str(tmp_path / "none") if word == "FILE" else word for word in words])
-    remedy, = {one.remedy for one in classes() if one.code == code}
+    (remedy,) = {one.remedy for one in classes() if one.code == code}
     assert done.exit_code == 2 and f"({code}: {remedy})" in done.output
 
 
@@ -126,8 +143,9 @@
 
         def status(self):
             raise admin.Refusal("standby")
+
     with caplog.at_level(logging.INFO):
         assert admin.answer(Desk(), b"maint-on s9") == b"-ERR no endpoint s9 is listed\n"
         assert admin.answer(Desk(), b"status") == b"-ERR standby\n"
-    line, = caplog.messages   # how often anybody looks is no news
+    (line,) = caplog.messages  # how often anybody looks is no news
     assert "LD-OPERATOR-NO: no endpoint s9 is listed; " in line and admin.Refusal.remedy[1:] in line
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -27,8 +27,12 @@
 
 def fleet(now, bad=(), silent=(), per_zone=4, **more):
     """Twelve reports: all see the zones `bad` fail, and the others serve."""
-    return [Known(now, word(f"p{z}{k}", z, 1 + int(now * 100), bad, [y for y in range(3) if y not in bad], **more))
-            for z in range(3) if z not in silent for k in range(per_zone)]
+    return [
+        Known(now, word(f"p{z}{k}", z, 1 + int(now * 100), bad, [y for y in range(3) if y not in bad], **more))
+        for z in range(3)
+        if z not in silent
+        for k in range(per_zone)
+    ]
 
 
 def play(last, start, seconds, bad=(), step=0.25, **more):
@@ -58,11 +62,19 @@
         one.ended(1.0, 7, 0, observe.BAD)
     assert one.report(1.0).cells[0].verdict() == -1 and one.report(9.0).cells[0].verdict() == 0
     one.ended(9.5, 7, 0, observe.REFUSED)
-    assert one.report(9.5).cells[0].verdict() == 1   # who refuses answers
-
-
-@pytest.mark.parametrize("data", [b"", b"\xc1", b"\x90", msgspec.msgpack.encode(["p", 0, 1, False, math.inf]),
-                                  msgspec.msgpack.encode(["p", 0, 1, False, 1.0, [], [[1, 2, math.nan, 0, 0, 0, 0]]])])
+    assert one.report(9.5).cells[0].verdict() == 1  # who refuses answers
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\xc1",
+        b"\x90",
+        msgspec.msgpack.encode(["p", 0, 1, False, math.inf]),
+        msgspec.msgpack.encode(["p", 0, 1, False, 1.0, [], [[1, 2, math.nan, 0, 0, 0, 0]]]),
+    ],
+)
 def test_bytes_that_are_no_report_are_none(data):
     assert observe.decode(data) is None
 
@@ -89,13 +101,17 @@
     assert all(a.epoch <= b.epoch for a, b in itertools.pairwise(made)) and made[-1].epoch < 25
 
 
-@pytest.mark.parametrize("reports", [
-    [word(f"p{k}", 0, bad=(0,)) for k in range(9)],                                             # one zone's word
-    [word(f"p{z}", z, bad=(0,)) for z in (1, 2)],                                               # too few
-    [word(f"p{z}{k}", z, bad=(0,) if k < 2 else ()) for z in (1, 2) for k in range(6)],         # most have not tried
-    [word(f"p{z}{k}", z, bad=(0, 1, 2), cut=True) for z in (0, 1) for k in range(6)],           # cut off
-    [word(f"p{z}{k}", z, bad=(0,)) for z in (1, 2) for k in range(2)]
-    + [word(f"q{z}{k}", z, good=(0,)) for z in (1, 2) for k in range(2)]])                      # as many against it
+@pytest.mark.parametrize(
+    "reports",
+    [
+        [word(f"p{k}", 0, bad=(0,)) for k in range(9)],  # one zone's word
+        [word(f"p{z}", z, bad=(0,)) for z in (1, 2)],  # too few
+        [word(f"p{z}{k}", z, bad=(0,) if k < 2 else ()) for z in (1, 2) for k in range(6)],  # most have not tried
+        [word(f"p{z}{k}", z, bad=(0, 1, 2), cut=True) for z in (0, 1) for k in range(6)],  # cut off
+        [word(f"p{z}{k}", z, bad=(0,)) for z in (1, 2) for k in range(2)]
+        + [word(f"q{z}{k}", z, good=(0,)) for z in (1, 2) for k in range(2)],
+    ],
+)  # as many against it
 def test_evidence_that_is_not_enough_moves_nothing(reports):
     last = Decision()
     for step in range(1, 40):
@@ -114,8 +130,11 @@
 def test_a_zone_that_flaps_is_shifted_twice_an_incident_at_the_most():
     for period in (1, 2, 3, 5, 8, 15, 25):
         made = play(Decision(), 100.0, 200.0, lambda now, p=period: (0,) if int(now / p) % 2 else ())
-        moves = [a.state(7, 0) for a, b in itertools.pairwise([Decision(), *made])
-                 if b.state(7, 0) is not a.state(7, 0) and b.state(7, 0) in (State.OUT, State.RETURNING)]
+        moves = [
+            a.state(7, 0)
+            for a, b in itertools.pairwise([Decision(), *made])
+            if b.state(7, 0) is not a.state(7, 0) and b.state(7, 0) in (State.OUT, State.RETURNING)
+        ]
         assert len(moves) <= (2 if period <= 8 else 6), (period, moves)
         assert all(s.shifts <= 2 for d in made for s in d.standings)
     assert max(s.relapses for d in made for s in d.standings) >= 1
@@ -123,14 +142,14 @@
 
 def test_a_zone_none_of_whose_processes_is_heard_is_tried_and_its_own_demand_stays():
     made = play(Decision(), 100.0, 2.0, ())
-    now, gone = 105.0, fleet(102.0)[:4]   # zone 0's last words
+    now, gone = 105.0, fleet(102.0)[:4]  # zone 0's last words
     last = judge.judge(made[-1], gone + fleet(now, silent=(0,)), now, REGIONS, RULES)
     assert (7, 0) in [(s.destination, s.zone) for s in last.standings] and last.state(7, 0) is State.SUSPECT
     for _ in range(8):
         now += 0.25
         last = judge.judge(last, gone + fleet(now, (0,), silent=(0,)), now, REGIONS, RULES)
     assert last.state(7, 0) is State.OUT and last.standing(7, 0).inside
-    assert last.slots(7, 0) == bytes([0]) * shares.SLOTS   # it serves itself on
+    assert last.slots(7, 0) == bytes([0]) * shares.SLOTS  # it serves itself on
 
 
 def test_a_late_decision_is_ignored_and_a_new_decider_starts_from_the_last():
@@ -153,12 +172,12 @@
 
 
 def test_one_zones_fall_never_fills_another_beyond_its_spare():
-    made = play(Decision(), 100.0, 10.0, (0,), demand=6.0, limit=30.0)   # 24 a zone; others fill it up to 28.5
+    made = play(Decision(), 100.0, 10.0, (0,), demand=6.0, limit=30.0)  # 24 a zone; others fill it up to 28.5
     for d in made:
         for zone in (1, 2):
             moved = sum(r.slots.count(zone) for r in d.routes if r.zone != zone) / shares.SLOTS * 24
             assert moved <= 30 * (1 - flow.RESERVE) - 24 + 1e-6
-    route, = made[-1].routes
+    (route,) = made[-1].routes
     assert route.unserved == pytest.approx(15.0, abs=0.4)
 
 
@@ -189,8 +208,13 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(0, 300), st.integers(0, 300), st.integers(0, 300), st.integers(0, 2)),
-                min_size=1, max_size=6))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 300), st.integers(0, 300), st.integers(0, 300), st.integers(0, 2)),
+        min_size=1,
+        max_size=6,
+    )
+)
 def test_no_capacity_is_passed_and_all_demand_is_accounted_for(zones):
     demand, near, far = ({z: row[k] for z, row in enumerate(zones)} for k in range(3))
     regions = {z: row[3] for z, row in enumerate(zones)}
@@ -204,7 +228,7 @@
     more = flow.spread(demand, near, {z: n + 10 for z, n in far.items()}, regions)
     assert sum(more.unserved.values()) <= sum(found.unserved.values())
     if sum(more.unserved.values()) == sum(found.unserved.values()):
-        assert more.cost <= found.cost   # more room never makes it dearer
+        assert more.cost <= found.cost  # more room never makes it dearer
 
 
 # --- Shares and the overlay.
@@ -229,7 +253,7 @@
     half = shares.remap(bytes([0]) * shares.SLOTS, {1: 0.5}, 0)
     ids = [f"m{k}" for k in range(4000)]
     chosen = {m: shares.choose(m, half) for m in ids}
-    assert chosen["m2"] == 1 and chosen["m3"] == 0   # the same in every process and after every restart
+    assert chosen["m2"] == 1 and chosen["m3"] == 0  # the same in every process and after every restart
     assert 0.46 < sum(chosen.values()) / 4000 < 0.54
     out = bytes([2]) * shares.SLOTS
     assert all(shares.choose(m, out, doubt_zone=chosen[m]) == chosen[m] for m in ids)
@@ -239,8 +263,12 @@
 
 def test_the_overlay_splits_only_what_has_limits_apart_and_opens_nothing():
     overlay = shares.Overlay([True, False], 3)
-    rows = [Server(f"s{d}{z}{health}", ("h", 1), d, health, d % 2, z)
-            for d in range(6) for z in range(3) for health in ("ready", "draining", "gone")]
+    rows = [
+        Server(f"s{d}{z}{health}", ("h", 1), d, health, d % 2, z)
+        for d in range(6)
+        for z in range(3)
+        for health in ("ready", "draining", "gone")
+    ]
     seen = list(overlay.shown(rows, lambda destination, zone: zone == 0))
     for row, shown in zip(rows, seen, strict=True):
         assert overlay.real(shown.destination) == (row.destination, row.zone if row.kind == 0 else None)
@@ -303,7 +331,7 @@
     out = operators.evacuate(last, fleet(now, demand=2.0), now, 0, REGIONS, RULES)
     assert out.state(7, 0) is State.OUT and out.epoch == 1 and out.slots(7, 0).count(0) <= 1
     stays = play(out, now, 30.0, demand=2.0)[-1]
-    assert stays.state(7, 0) is State.OUT   # by hand: no evidence brings it back
+    assert stays.state(7, 0) is State.OUT  # by hand: no evidence brings it back
     with pytest.raises(NotOut):
         operators.evacuate(out, fleet(now, demand=2.0), now, 0, REGIONS, RULES)
     back = operators.bring_back(stays, fleet(130.0, demand=2.0), 130.0, 0, REGIONS, RULES)
@@ -312,10 +340,15 @@
         operators.bring_back(stays, fleet(130.0, (0,)), 130.0, 0, REGIONS, RULES)
 
 
-@pytest.mark.parametrize("reports, zone, error, text", [
-    (fleet(100.0, demand=6.0), 0, CannotCarry, "15.0 messages/s for destination 7 fit nowhere"),
-    (fleet(100.0), 9, NotKnown, "zone 9"), (fleet(90.0), 0, NotSeen, "0 processes"),
-    (fleet(100.0, silent=(0, 1)), 0, NotSeen, "4 processes in 1 zones")])
+@pytest.mark.parametrize(
+    "reports, zone, error, text",
+    [
+        (fleet(100.0, demand=6.0), 0, CannotCarry, "15.0 messages/s for destination 7 fit nowhere"),
+        (fleet(100.0), 9, NotKnown, "zone 9"),
+        (fleet(90.0), 0, NotSeen, "0 processes"),
+        (fleet(100.0, silent=(0, 1)), 0, NotSeen, "4 processes in 1 zones"),
+    ],
+)
 def test_an_evacuation_that_cannot_be_safe_is_refused_with_its_reason(reports, zone, error, text):
     with pytest.raises(error, match=text):
         operators.evacuate(Decision(), reports, 100.0, zone, REGIONS, RULES)
@@ -323,6 +356,7 @@
 
 def test_failover_knows_nothing_of_the_house_but_errors_and_the_clusters_interface():
     from test_floors import ROOT, house
+
     graph = house(ROOT)
     found = {other for module, others in graph.items() if module.startswith("failover") for other in others}
     assert {o for o in found if not o.startswith("failover")} <= {"errors", "options", "cluster.interface"}
@@ -362,13 +396,15 @@
     assert judge.lease_room(cut, judge.look(held, now), now, RULES) <= 30 * (1 - flow.RESERVE) - 16
 
 
-@pytest.mark.parametrize("story, policy, seed", [("tight", "ours", 1), ("alarm", "ours", 2), ("quiet", "ours", 0),
-                                                 ("tight", "alone", 1)])
+@pytest.mark.parametrize(
+    "story, policy, seed", [("tight", "ours", 1), ("alarm", "ours", 2), ("quiet", "ours", 0), ("tight", "alone", 1)]
+)
 def test_a_story_replays_to_the_last_figure_and_keeps_the_bounds(story, policy, seed):
     from linkdock.lab import virtual_failover as lab
+
     play_once = lab.World(lab.STORIES[story](), policy, seed).run()
     if policy == "alone":
-        assert play_once["toppled"] > 0   # what the shares are there to prevent
+        assert play_once["toppled"] > 0  # what the shares are there to prevent
         return
     assert play_once["passed"] == play_once["toppled"] == play_once["false"] == 0
     assert play_once["shifts"] <= 2 and not play_once["decided"] > 3.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
         member = Member(0, Rules(fall_multiple=1.5, fall_time=2.0, cold_time=10.0, cold_share=0.5), Random(1), rate=4.0)
         member.fall()
         member.come_back(100.0)
-        replies = [member.call(100.0 + n / 100, 1, knew).how for n in range(17)]   # N is 6: 16 are lawful in 2 s
+        replies = [member.call(100.0 + n / 100, 1, knew).how for n in range(17)]  # N is 6: 16 are lawful in 2 s
         assert set(replies[:16]) <= {OK, FULL} and replies[16] == SILENT
         assert (member.toppled, member.broken, member.outages) == (1, int(knew), 2)
 
@@ -39,13 +39,13 @@
     plan = Plan(senders=20, members=4, rate=40.0)
     fleet = Fleet(plan, 3)
     for member in fleet.members.values():
-        member.fall()   # nothing is served: all of it is held, or out
+        member.fall()  # nothing is served: all of it is held, or out
     fleet.run(2.0, [])
     held = {id(world): set(world._open) for world in fleet.worlds}
     doubtful = {id(world): {n for n, _ in world._out if world._open[n].cls == 1} for world in fleet.worlds}
     for world in fleet.worlds:
         world.restart(7, fleet.listed)
-        assert set(world._open) == held[id(world)] - doubtful[id(world)]   # an order in doubt has ended
+        assert set(world._open) == held[id(world)] - doubtful[id(world)]  # an order in doubt has ended
     assert any(doubtful.values())
     fleet.run(40.0, [])
     for world in fleet.worlds:
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -19,8 +19,14 @@
 def test_a_node_without_a_quorum_takes_nothing_from_delivery_and_leaves_with_the_sender(start):
     """Its founders are three, and the other two never come: nothing can be agreed on, everything is delivered."""
     server = Backend("s1")
-    told = {"on": True, "key": KEY, "listen": f"127.0.0.1:{free_port()}", "founders": ["n0", "n1", "n2"],
-            "seeds": [f"127.0.0.1:{free_port()}"], "zone": "a"}
+    told = {
+        "on": True,
+        "key": KEY,
+        "listen": f"127.0.0.1:{free_port()}",
+        "founders": ["n0", "n1", "n2"],
+        "seeds": [f"127.0.0.1:{free_port()}"],
+        "zone": "a",
+    }
     program = start([server], deploy={"cluster": told})
     client = program.client()
     for n in range(3):
@@ -39,12 +45,18 @@
 def test_a_cluster_file_that_cannot_be_right_ends_the_start_with_one_line(start, tmp_path):
     import os
     import subprocess
+
     program = start([Backend("s1")])
     program.kill()
     (program.deploy / "cluster.json").write_text(json.dumps({"on": True, "key": "short"}))
-    env = {**os.environ, "RELAY_CONFIG": str(program.config), "RELAY_STATE": str(program.state),
-           "LINKDOCK_DEPLOY": str(program.deploy)}
-    done = subprocess.run([sys.executable, "-m", "linkdock"], cwd=ROOT, env=env, capture_output=True, text=True,
-                          timeout=PATIENCE)
+    env = {
+        **os.environ,
+        "RELAY_CONFIG": str(program.config),
+        "RELAY_STATE": str(program.state),
+        "LINKDOCK_DEPLOY": str(program.deploy),
+    }
+    done = subprocess.run(
+        [sys.executable, "-m", "linkdock"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=PATIENCE
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1
     assert "cluster.json: key must have at least 16 characters (LD-OPTION" in done.stderr
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -18,7 +18,7 @@
 FLOORS = (
     ("errors < options < cluster < failover", "interface", "streams"),
     ("decide", "decisions", "wire"),
-    ("linkdock", "facade"),   # `linkdock` is the package's own __init__
+    ("linkdock", "facade"),  # `linkdock` is the package's own __init__
     ("state",),
     ("admission", "connections", "dormancy", "records", "undeliverable"),
     ("protocol",),
@@ -26,12 +26,12 @@
     ("service",),
     ("lab < console", "drill", "__main__"),
 )
-BELOW = {}   # of each, what it may import
+BELOW = {}  # of each, what it may import
 for floor in FLOORS:
     lower = set(BELOW)
     for chain in floor:
         for name in chain.split(" < "):
-            BELOW[name] = lower | set(chain.split(" < ")[:chain.split(" < ").index(name)])
+            BELOW[name] = lower | set(chain.split(" < ")[: chain.split(" < ").index(name)])
 
 
 def modules(root: pathlib.Path) -> dict[str, pathlib.Path]:
@@ -54,14 +54,14 @@
         elif isinstance(node, ast.ImportFrom):
             base = node.module or ""
             if node.level:
-                base = ".".join(["linkdock", *package[:len(package) - node.level + 1], *filter(None, [base])])
+                base = ".".join(["linkdock", *package[: len(package) - node.level + 1], *filter(None, [base])])
             names = [f"{base}.{alias.name}" for alias in node.names]
         else:
             continue
         for name in names:
             first, _, rest = name.partition(".")
             if first == "linkdock":
-                while rest and rest not in known:   # a name in a module, not a module
+                while rest and rest not in known:  # a name in a module, not a module
                     rest = rest.rpartition(".")[0]
                 found.add(rest or "linkdock")
     return found - {module}
@@ -74,9 +74,12 @@
 
 def wrong_ways(graph: dict[str, set[str]]) -> list[str]:
     """Imports that go up, or across a floor."""
-    return sorted(f"{module} imports {other}" for module, others in graph.items() for other in others
-                  if (mine := module.split(".")[0]) != (its := other.split(".")[0])
-                  and its not in BELOW.get(mine, ()))
+    return sorted(
+        f"{module} imports {other}"
+        for module, others in graph.items()
+        for other in others
+        if (mine := module.split(".")[0]) != (its := other.split(".")[0]) and its not in BELOW.get(mine, ())
+    )
 
 
 def unknown(graph: dict[str, set[str]]) -> list[str]:
@@ -110,27 +113,47 @@
     """Danger: a name that is put together is an import which the tests above cannot see. The console's views are."""
     for module, path in modules(ROOT).items():
         for node in ast.walk(ast.parse(path.read_text())):
-            names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else [
-                getattr(node, "module", None) or getattr(node, "id", None) or ""]
+            names = (
+                [alias.name for alias in node.names]
+                if isinstance(node, ast.Import)
+                else [getattr(node, "module", None) or getattr(node, "id", None) or ""]
+            )
             assert module == "console.main" or not any(n in ("importlib", "__import__") for n in names), module
 
 
-@pytest.mark.parametrize("module, text, fault", [
-    ("state/a.py", "from ..facade import Server\nfrom .b import c\nfrom . import b\nimport os", None),
-    ("state/a.py", "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from ..service.run import Process",
-     "state.a imports service.run"),
-    ("connections/a.py", "def f():\n    from .. import protocol", "connections.a imports protocol"),
-    ("facade.py", "import linkdock.protocol as p", "facade imports protocol"),
-    ("records/__init__.py", "from ..connections import pool", "records imports connections.pool"),
-    ("cluster/a.py", "from ..options import switched_on\nfrom ..errors import Fault", None),
-    ("options.py", "from .cluster import a", "options imports cluster.a"),
-    ("lab/a.py", "from ..console.main import cli", "lab.a imports console.main"),
-    ("shed/a.py", "", "shed"),
-    ("state/b.py", "def f():\n    from .a import x", "state.a, state.b"),
-])
+@pytest.mark.parametrize(
+    "module, text, fault",
+    [
+        ("state/a.py", "from ..facade import Server\nfrom .b import c\nfrom . import b\nimport os", None),
+        (
+            "state/a.py",
+            "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from ..service.run import Process",
+            "state.a imports service.run",
+        ),
+        ("connections/a.py", "def f():\n    from .. import protocol", "connections.a imports protocol"),
+        ("facade.py", "import linkdock.protocol as p", "facade imports protocol"),
+        ("records/__init__.py", "from ..connections import pool", "records imports connections.pool"),
+        ("cluster/a.py", "from ..options import switched_on\nfrom ..errors import Fault", None),
+        ("options.py", "from .cluster import a", "options imports cluster.a"),
+        ("lab/a.py", "from ..console.main import cli", "lab.a imports console.main"),
+        ("shed/a.py", "", "shed"),
+        ("state/b.py", "def f():\n    from .a import x", "state.a, state.b"),
+    ],
+)
 def test_each_wrong_way_is_seen(tmp_path, module, text, fault):
-    for name in ("__init__.py", "options.py", "errors.py", "facade.py", "state/a.py", "state/b.py", "service/run.py",
-                 "protocol/__init__.py", "connections/pool.py", "console/main.py", "cluster/a.py"):
+    for name in (
+        "__init__.py",
+        "options.py",
+        "errors.py",
+        "facade.py",
+        "state/a.py",
+        "state/b.py",
+        "service/run.py",
+        "protocol/__init__.py",
+        "connections/pool.py",
+        "console/main.py",
+        "cluster/a.py",
+    ):
         (tmp_path / name).parent.mkdir(exist_ok=True)
         (tmp_path / name).write_text("")
     (tmp_path / "state/a.py").write_text("from . import b")
@@ -142,8 +165,20 @@
 
 
 def test_a_sender_imports_nothing_of_what_is_off():
-    off = ("admission", "cluster", "console", "dormancy", "failover", "lab", "records", "undeliverable",
-           "connections.choice", "connections.keeper", "connections.kept", "connections.stock")
+    off = (
+        "admission",
+        "cluster",
+        "console",
+        "dormancy",
+        "failover",
+        "lab",
+        "records",
+        "undeliverable",
+        "connections.choice",
+        "connections.keeper",
+        "connections.kept",
+        "connections.stock",
+    )
     code = f"import sys, linkdock.service.run; print([n for n in {off!r} if 'linkdock.' + n in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT.parent, timeout=30)
     assert done.stdout.strip() == "[]", done.stderr
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -18,7 +18,7 @@
     told = []
     served = [registry.ask(0.0, n, lambda changes, upto: told.append(upto)) for n in range(40)]
     assert sum(served) == len(told) == 10 and registry.turned_away == 30
-    assert not any(registry.ask(0.1 * n, 50, lambda *news: None) for n in range(1, 20))   # some 10 a second, no rest
+    assert not any(registry.ask(0.1 * n, 50, lambda *news: None) for n in range(1, 20))  # some 10 a second, no rest
     assert registry.ask(9.0, 50, lambda *news: None)
     registry.replace("0-0", "0-new")
     registry.tell(registry.version)
@@ -37,6 +37,7 @@
         hows += [member.call(4.0 + n / 20).how for n in range(60)]
         assert set(hows) == {OK, FULL}
         return hows.count(OK)
+
     assert served(True) < served(False) if not span else served(True) == served(False)
 
 
@@ -73,7 +74,7 @@
     some = list(range(senders // 2))
     happens = []
     happens.append((WARM_UP, lambda: fleet.kill(some, 3, happens, WARM_UP)))
-    fleet.run(WARM_UP + AFTER + 30.0, happens)   # all is over, and every idle connection was retired
+    fleet.run(WARM_UP + AFTER + 30.0, happens)  # all is over, and every idle connection was retired
     assert [member.lines for member in fleet.members.values()] == [0] * len(fleet.members)
     for world in fleet.worlds:
         tally = world.tallies.get("all")
@@ -99,6 +100,7 @@
 
     def count(destination, what):
         return sum(fleet.counts[second, destination, what] for second in range(30))
+
     assert count(7, "refused") <= 5 * senders and fleet.members[7].served >= 10
     assert count(2, "failed") <= 2 * senders and fleet.members[2].served >= 0.95 * count(2, "sent")
 
@@ -117,6 +119,6 @@
     member = fleet.members[3]
     member.answers_when_down = False
     member.fall()
-    member.come_back(0.0)   # before anybody had a message for it
+    member.come_back(0.0)  # before anybody had a message for it
     fleet.run(20.0, [])
     assert member.broken == 0 and member.served > 0
--- a/tests/test_idempotency_key.py
+++ b/tests/test_idempotency_key.py
@@ -4,8 +4,10 @@
 
 from peers import CLASSES, Backend, settled
 
-KEYED = [*CLASSES, {"name": "hold", "idempotency": "idempotency_key", "group": "all", "window": 20.0, "aim": 4.0,
-                    "hard-limit": 30.0}]
+KEYED = [
+    *CLASSES,
+    {"name": "hold", "idempotency": "idempotency_key", "group": "all", "window": 20.0, "aim": 4.0, "hard-limit": 30.0},
+]
 
 
 def hand_in(client, name, key, dest=1):
@@ -34,7 +36,7 @@
     client = program.client()
     assert hand_in(client, "aa01", "251129552326564b") == "+OK"
     line, _ = server.take()
-    line.answer(429, Retry_After="30")   # proven not to have run, and untried for the next life
+    line.answer(429, Retry_After="30")  # proven not to have run, and untried for the next life
     settled(client)
     program.kill()
     program.start()
@@ -47,7 +49,7 @@
     server, slow = Backend("s1", kind="batching"), Backend("s2", destination=2)
     program = start([server, slow], grades=KEYED, extra__calls_out=1)
     client = program.client()
-    assert hand_in(client, "bb01", "b", dest=2) == "+OK"   # takes the one slot, so that the others wait together
+    assert hand_in(client, "bb01", "b", dest=2) == "+OK"  # takes the one slot, so that the others wait together
     held, _ = slow.take()
     for n in "12":
         assert hand_in(client, f"aa0{n}", n * 16) == "+OK"
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -23,16 +23,18 @@
 
 def test_an_idle_life_that_shortens_and_lengthens_is_followed():
     wire, luck = Wire(ahead=0), random.Random(3)
+
     def stale(calls, life):
         return sum(wire.call(luck.uniform(0.1, 3.5), life) for _ in range(calls))
+
     stale(150, 2.0)
     late = stale(60, 2.0)
-    assert late <= 6   # a tenth; the plain pool would meet about 26
+    assert late <= 6  # a tenth; the plain pool would meet about 26
     stale(150, 0.7)
     assert stale(60, 0.7) <= 6
     opened = wire.opened
     stale(400, 99.0)
-    assert wire.opened - opened < 400 * 0.6   # it is trusted again
+    assert wire.opened - opened < 400 * 0.6  # it is trusted again
 
 
 def test_one_that_resets_every_third_reuse_carries_no_order_on_a_used_connection():
@@ -62,7 +64,7 @@
         else:
             wire.done(line)
     assert 1 <= len(stale) < 8 and len([n for n in stale if n > 400]) <= 1
-    assert wire.opened < 60   # 25 calls each at best: age is not blamed for it
+    assert wire.opened < 60  # 25 calls each at best: age is not blamed for it
 
 
 def test_an_order_takes_the_connection_most_surely_alive_and_a_preview_the_older_one():
@@ -73,7 +75,7 @@
     wire.call(0.0)
     wire.to(wire.now + 2.5)
     order, preview = wire.ask(careful=True), wire.ask()
-    assert wire.given(preview).uses == 1 and wire.given(order) is None   # a new one is opened for it
+    assert wire.given(preview).uses == 1 and wire.given(order) is None  # a new one is opened for it
     wire.to(wire.now + 0.2)
     assert wire.given(order).uses == 0
 
@@ -84,7 +86,7 @@
         wire.call(0.1, took=0.1)
     most, tickets = surge(wire, 100)
     assert most <= 4 and not wire.failed and all(wire.given(t) for t in tickets)
-    assert wire.opened < 50   # most went over what came free
+    assert wire.opened < 50  # most went over what came free
 
 
 def test_connections_are_opened_ahead_of_a_surge_at_a_bounded_rate_and_never_without_traffic():
@@ -92,7 +94,7 @@
     wire.to(5.0)
     assert wire.opened == 0
     lines = []
-    for _ in range(60):   # 20 calls a second, where a call takes 0.5 s
+    for _ in range(60):  # 20 calls a second, where a call takes 0.5 s
         ticket = wire.ask()
         wire.to(wire.now + 0.05)
         lines += [(wire.now + 0.5, ticket)]
@@ -120,7 +122,7 @@
             known.asked(now)
             known.took(now, 0.2)
     before = slow.target(now, 4.0, 0.9), more.target(now, 4.0, 0.9)
-    for n in range(200):   # ten seconds
+    for n in range(200):  # ten seconds
         now += 0.05
         slow.asked(now)
         slow.took(now, 0.2 * 2.6)
@@ -143,7 +145,7 @@
     opened, waiting = wire.opened, wire.ask()
     wire.to(wire.now + 0.05)
     assert wire.opened == opened
-    wire.to(wire.now + 0.4)   # patience has an end: it is not starved
+    wire.to(wire.now + 0.4)  # patience has an end: it is not starved
     assert wire.opened == opened + 1 and wire.given(waiting)
 
 
@@ -162,7 +164,7 @@
     opened = wire.opened
     more = [wire.ask("s") for _ in range(3)]
     wire.to(wire.now + 1.0)
-    assert wire.opened - opened <= 2   # it is tried, and not again and again
+    assert wire.opened - opened <= 2  # it is tried, and not again and again
     wire.done(held)
     assert wire.given(waiting) is held and len(wire.keeper.endpoints["other"].idle) == 1
     wire.to(wire.now + 1.6)
@@ -173,7 +175,7 @@
     for _ in range(12):
         wire.ask("s")
     wire.to(wire.now + 20)
-    assert wire.keeper.endpoints["s"].cap > 10   # and found again in time
+    assert wire.keeper.endpoints["s"].cap > 10  # and found again in time
 
 
 def test_one_connect_that_fails_by_chance_is_no_cap():
@@ -211,4 +213,4 @@
     assert [f.full for f in wire.failed] == [False] * 3
     opened = wire.opened
     wire.to(5.0)
-    assert wire.opened == opened and len(wire.keeper) == 0   # none is opened ahead of need toward it
+    assert wire.opened == opened and len(wire.keeper) == 0  # none is opened ahead of need toward it
--- a/tests/test_keeper_bounds.py
+++ b/tests/test_keeper_bounds.py
@@ -63,7 +63,7 @@
     wire = Wire(ahead=30.0, handshakes=8)
     busy_server(wire)
     endpoint = wire.keeper.endpoints["s"]
-    assert endpoint.counts["ahead"] > 0   # else the story shows nothing
+    assert endpoint.counts["ahead"] > 0  # else the story shows nothing
     wire.blocked["s"] = why
     wire.do(wire.keeper.retire("s"))
     ahead = endpoint.counts["ahead"]
@@ -84,8 +84,12 @@
         del wire.blocked["s"]
         target, opened = wire.keeper.endpoints["s"].demand.target(wire.now, 4.25, 0.97), wire.opened
         wire.to(wire.now + 1.0)
-        return target, wire.opened - opened, max(wire.keeper._handshakes(wire.now, e)
-                                                 for e in wire.keeper.endpoints.values())
+        return (
+            target,
+            wire.opened - opened,
+            max(wire.keeper._handshakes(wire.now, e) for e in wire.keeper.endpoints.values()),
+        )
+
     target, cold, handshakes = after_return(100.0)
     assert handshakes <= 2
     assert cold <= 0.3 * target < after_return(0.0)[1]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,11 +21,11 @@
 
 
 def test_a_cold_member_topples_beyond_the_rule_and_not_below_it():
-    cold = member(rate=10.0)   # cold: 4 a second; N = 1.5 * 4 * 2 = 12 in a window, and at most N + 3 * sqrt(N) + 3
+    cold = member(rate=10.0)  # cold: 4 a second; N = 1.5 * 4 * 2 = 12 in a window, and at most N + 3 * sqrt(N) + 3
     cold.fall()
     assert cold.call(0.0).how == SILENT
     cold.come_back(1.0)
-    for n in range(26):   # a quarter of a second into its return N is 12.45, and the bound 26.04
+    for n in range(26):  # a quarter of a second into its return N is 12.45, and the bound 26.04
         assert cold.call(1.0 + n * 0.01).how in (OK, FULL)
     assert cold.toppled == 0 and cold.most_over == pytest.approx(26 / 12.45) and 0.99 < cold.most_bound <= 1.0
     assert cold.call(1.26).how == SILENT and cold.toppled == 1 and not cold.up and cold.most_bound > 1.0
@@ -99,7 +99,7 @@
     plan = idle.Plan(destinations=500, wake=20, active=5, asleep_s=10.0)
     world = idle._world(plan, 1, 500, True, {7: member(rate=2.0)})
     world.members[7].come_back(0.0)
-    for n in range(40):   # past the decisions: straight into the member
+    for n in range(40):  # past the decisions: straight into the member
         world.at(0.5 + n * 0.001, lambda: world.members[7].call(world.now))
     world.run(2.0)
     assert world.members[7].toppled == 1
@@ -123,9 +123,16 @@
     assert connections.run(plan) == report
 
 
-@pytest.mark.parametrize("text, named", [
-    ('{"lives": [0.01]}', "lives must be above"), ('{"settings": {"cap": 0}}', "$.settings.cap"),
-    ('{"seconds": 20}', "seconds must be at least"), ('{"servers": 0}', "$.servers"), ('{"lives": []}', "$.lives")])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"lives": [0.01]}', "lives must be above"),
+        ('{"settings": {"cap": 0}}', "$.settings.cap"),
+        ('{"seconds": 20}', "seconds must be at least"),
+        ('{"servers": 0}', "$.servers"),
+        ('{"lives": []}', "$.lives"),
+    ],
+)
 def test_a_broken_plan_of_connections_is_named(tmp_path, text, named):
     file = tmp_path / "plan.json"
     file.write_text(text)
@@ -133,10 +140,18 @@
     assert done.exit_code == 2 and named in done.output
 
 
-@pytest.mark.parametrize("text, named", [
-    ('{"destinations": 5}', "$.destinations"), ('{"wake": "all"}', "$.wake"), ('{"members": 5}', "members"),
-    ('{"destinations": 300, "wake": 301}', "wake must be at most destinations"), ("{", "no JSON"), ("[1]", "object"),
-    ('{"seconds": 0}', "$.seconds")])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"destinations": 5}', "$.destinations"),
+        ('{"wake": "all"}', "$.wake"),
+        ('{"members": 5}', "members"),
+        ('{"destinations": 300, "wake": 301}', "wake must be at most destinations"),
+        ("{", "no JSON"),
+        ("[1]", "object"),
+        ('{"seconds": 0}', "$.seconds"),
+    ],
+)
 def test_a_broken_plan_is_named_and_nothing_is_begun(tmp_path, text, named):
     file = tmp_path / "plan.json"
     file.write_text(text)
@@ -146,8 +161,12 @@
 
 def test_options_that_cannot_be_are_named(tmp_path):
     run = CliRunner().invoke
-    for words, named in ((["--wake", "0"], "wake"), (["--plan", str(tmp_path / "none")], "none"),
-                         (["--destinations", "x"], "destinations"), (["--table", str(tmp_path / "no" / "t")], "no")):
+    for words, named in (
+        (["--wake", "0"], "wake"),
+        (["--plan", str(tmp_path / "none")], "none"),
+        (["--destinations", "x"], "destinations"),
+        (["--table", str(tmp_path / "no" / "t")], "no"),
+    ):
         done = run(cli, ["lab", "idle", *words])
         assert done.exit_code == 2 and named in done.output and "Traceback" not in done.output
 
@@ -155,13 +174,28 @@
 def test_the_experiment_prints_one_object_and_keeps_its_results(tmp_path):
     table, plot = tmp_path / "runs.parquet", tmp_path / "plot.png"
     file = tmp_path / "plan.json"
-    file.write_text(json.dumps({"destinations": 300, "wake": 20, "seeds": 1, "active": 5, "rounds": 1, "few": 200,
-                                "asleep_s": 20.0, "rate": 20.0, "process": False}))
-    done = CliRunner().invoke(cli, ["lab", "idle", "--plan", str(file), "--json", "--table", str(table),
-                                    "--plot", str(plot)])
+    file.write_text(
+        json.dumps(
+            {
+                "destinations": 300,
+                "wake": 20,
+                "seeds": 1,
+                "active": 5,
+                "rounds": 1,
+                "few": 200,
+                "asleep_s": 20.0,
+                "rate": 20.0,
+                "process": False,
+            }
+        )
+    )
+    done = CliRunner().invoke(
+        cli, ["lab", "idle", "--plan", str(file), "--json", "--table", str(table), "--plot", str(plot)]
+    )
     told = json.loads(done.output)
     assert done.exit_code == 0 and told["waking"]["toppled"] == 0 and told["pass ratio"] > 0
     assert plot.read_bytes().startswith(b"\x89PNG") and table.stat().st_size > 0
     results.write_table(table, {"process": {"runs": [{"destinations": 3, "p50 ms": 1.0}]}})
     import pyarrow.parquet as pq
+
     assert pq.read_table(table).to_pylist() == [{"destinations": 3, "p50 ms": 1.0}]
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -32,13 +32,11 @@
             events = {}
             while owed >= 1:
                 owed -= 1
-                events.setdefault(self.rng.randrange(len(self.relays)), []).append(
-                    i.Message(self.next_id, 0, 1, 20.0))
+                events.setdefault(self.rng.randrange(len(self.relays)), []).append(i.Message(self.next_id, 0, 1, 20.0))
                 self.next_id += 1
             for due, n, mid, attempt in [o for o in self.out if o[0] <= self.now]:
                 self.out.remove((due, n, mid, attempt))
-                events.setdefault(n, []).append(
-                    i.Outcome(mid, attempt, "a", result, elapsed, finished=result is R.OK))
+                events.setdefault(n, []).append(i.Outcome(mid, attempt, "a", result, elapsed, finished=result is R.OK))
                 if result is not R.OK:
                     self.informed.add(n)
             for n, relay in enumerate(self.relays):
@@ -55,12 +53,12 @@
 @pytest.mark.parametrize("weights", [True, False])
 @pytest.mark.parametrize("relays", [3, 48, 330])
 def test_relays_that_saw_an_outage_keep_the_cold_budget_together(relays, weights):
-    fleet = Fleet(relays, told_weights=weights)   # without weights the rate is only what each is asked for
+    fleet = Fleet(relays, told_weights=weights)  # without weights the rate is only what each is asked for
     fleet.run(5, 15, R.OK, 0.2)
     fleet.run(12, 15, R.CONNECT_FAILED, 1.0)
     back = fleet.now
     times = fleet.run(8, 15, R.OK, 0.2)
-    assert times   # they do come back
+    assert times  # they do come back
     for start in times:
         window = sum(1 for t in times if start <= t < start + TIP)
         warm = min(1.0, COLD + (1 - COLD) * (start - back) / 10.0)
@@ -72,7 +70,7 @@
 def test_idle_parts_are_used_until_refusals_say_that_others_push():
     rig = Rig(relays=300, slots=8, weight=10.0)
     sent = of(i.Send, rig.step(0, *[i.Message(mid, 0, 1, 20.0) for mid in range(4)]))
-    assert len(sent) >= 3   # an even part would be one call in thirty seconds
+    assert len(sent) >= 3  # an even part would be one call in thirty seconds
     rig.outcome(sent[0].id, R.FULL, report=i.Report(0.0, 10.0))
     part = rig.relay.links["a"].route.part
     assert part < 1 / 10 and not of(i.Send, rig.step(0.2))
@@ -113,6 +111,7 @@
             rig.step(0, i.Hosts(i.ListKind.FULL, [i.HostEntry("a", 1, zone=0), i.HostEntry("b", 1, zone=1)]))
             chosen |= {s.host for s in of(i.Send, rig.message(1))}
         return chosen
+
     assert hosts(apart=True) == {"a"} and hosts(apart=False) == {"a", "b"}
 
 
@@ -126,8 +125,12 @@
 
 
 def test_idle_connections_close_only_where_they_are_seen_to_bind_and_reuse_is_far():
-    for relays, known, closes in ((100, None, 0), (100, "reports elsewhere", 1), (100, "a fast failure", 1),
-                                  (2, "reports elsewhere", 0)):
+    for relays, known, closes in (
+        (100, None, 0),
+        (100, "reports elsewhere", 1),
+        (100, "a fast failure", 1),
+        (2, "reports elsewhere", 0),
+    ):
         rig = Rig(relays=relays, weight=20.0)
         rig.message(1)
         if known == "reports elsewhere":
@@ -139,8 +142,7 @@
         assert len(of(i.CloseIdle, rig.outcome(1, R.OK))) == closes, known
 
 
-@pytest.mark.parametrize("more", [dict(cold_share=0.0), dict(cold_time=0.0), dict(slots=1),
-                                  dict(relays=330, me=329)])
+@pytest.mark.parametrize("more", [dict(cold_share=0.0), dict(cold_time=0.0), dict(slots=1), dict(relays=330, me=329)])
 @pytest.mark.parametrize("weight", [0.0, 5.0])
 def test_odd_but_legal_settings_lead_to_lawful_actions(more, weight):
     rig = Rig(weight=weight, **more)
@@ -153,7 +155,7 @@
         for mid, _attempt in list(rig.relay.calls):
             rig.outcome(mid, R.CONNECT_FAILED, elapsed=1.0, report=i.Report(0.0, 5.0))
     rig.step(30.0)
-    assert not rig.relay.msgs   # all answered in their time
+    assert not rig.relay.msgs  # all answered in their time
 
 
 def test_a_message_without_time_left_is_answered_at_once():
@@ -161,10 +163,17 @@
     assert [type(a) for a in acts if not isinstance(a, i.SetTimer)] == [i.Refuse]
 
 
-@pytest.mark.parametrize("field, more", [("relays", dict(relays=0)), ("me", dict(relays=2, me=2)),
-                                         ("me", dict(me=-1)), ("slots", dict(slots=0)),
-                                         ("max_open", dict(max_open=0)),
-                                         ("max_attempts", dict(max_attempts=0))])
+@pytest.mark.parametrize(
+    "field, more",
+    [
+        ("relays", dict(relays=0)),
+        ("me", dict(relays=2, me=2)),
+        ("me", dict(me=-1)),
+        ("slots", dict(slots=0)),
+        ("max_open", dict(max_open=0)),
+        ("max_attempts", dict(max_attempts=0)),
+    ],
+)
 def test_impossible_settings_name_their_field(field, more):
     with pytest.raises(ValueError, match=field):
         decide.Relay(settings(**more), 1)
@@ -174,8 +183,8 @@
     rig = Rig(slots=1)
     rig.message(0)
     rig.message(1, expires_in=18.0)
-    rig.message(2, expires_in=3.0)                 # fresh, with little time
-    rig.message(3, expires_in=3.0, again=True)     # came again: most of its worth is gone
+    rig.message(2, expires_in=3.0)  # fresh, with little time
+    rig.message(3, expires_in=3.0, again=True)  # came again: most of its worth is gone
     worth = {m.id: rig.relay.worth(m, rig.now + 0.5) for m in rig.relay.msgs.values()}
     assert worth[1] == worth[2] == 1.0 and worth[3] < 0.6
     assert rig.relay.worth(rig.relay.msgs[2], rig.now + 3.0) == 0.0
@@ -187,20 +196,20 @@
     for apart in (False, True):
         rig = Rig(hosts=(), relays=50, apart=apart, told_weights=False, slots=40, max_open=10000)
         rig.step(0, i.Hosts(i.ListKind.CACHED, entries))
-        for n in range(200):   # two a second for the first, a tenth of one for each of four others
+        for n in range(200):  # two a second for the first, a tenth of one for each of four others
             others = [i.Message(2 * n + 1, 0, 1 + n // 10 % 4, 20.0)] * (n % 10 == 0)
             rig.step(0.25, i.Message(2 * n, 0, 0, 20.0), *others)
         rates[apart] = [rig.relay.rate(rig.relay.links[f"{d}a"]) for d in range(10)]
     busy, some, idle = rates[False][0], rates[False][1], rates[False][9]
     assert busy == pytest.approx(4 * 50, rel=0.3) and busy > some > idle > 0
-    assert rates[True][0] == pytest.approx(busy / 2)   # routes apart share what the partner is asked for
+    assert rates[True][0] == pytest.approx(busy / 2)  # routes apart share what the partner is asked for
 
 
 def test_a_full_store_gives_up_what_rests_longest_and_takes_new_messages_for_free_partners():
     rig = Rig(hosts=(), slots=16, max_open=10, relays=100)
     rig.step(0, i.Hosts(i.ListKind.CACHED, [i.HostEntry(h, d, weight=20.0) for d, h in enumerate("abc")]))
     rig.step(0, i.Message(1, 0, 0, 20.0))
-    rig.outcome(1, R.FULL)   # partner 0 rests for many seconds
+    rig.outcome(1, R.FULL)  # partner 0 rests for many seconds
     assert rig.relay.links["a"].route.tokens_at > rig.now + 2
     assert len(of(i.Send, rig.step(0.01, *[i.Message(mid, 0, 2, 20.0) for mid in range(2, 10)]))) == 8
     acts = rig.step(0.01, i.Message(10, 0, 1, 20.0))
@@ -210,9 +219,9 @@
 def test_an_overtaken_call_gives_up_its_slot_when_slots_are_scarce():
     rig = Rig(effect=i.Effect.UNSAFE, slots=4)
     rig.warm(40)
-    rig.message(1)                        # its answer is lost
+    rig.message(1)  # its answer is lost
     rig.message(2, later=0.1)
-    rig.outcome(2, R.OK)                  # a later one was answered: the link is sound
+    rig.outcome(2, R.OK)  # a later one was answered: the link is sound
     rig.step(0, i.Hosts(i.ListKind.DELTA, [i.HostEntry("b", 2, weight=200.0)]))
     acts = rig.step(0.1, *[i.Message(mid, 0, 1 + mid % 2, 20.0) for mid in range(3, 9)])
     assert rig.relay.busy == 4 and rig.relay.links["a"].down_at is None
@@ -225,6 +234,7 @@
         rig.relay.kinds[0][2] = refused
         host = of(i.Send, rig.message(1))[0].host
         return bool(of(i.Send, rig.outcome(1, R.FULL, host=host)))
+
     assert second_try_at_once(0.0) and not second_try_at_once(1.0)
 
 
@@ -251,10 +261,11 @@
     def out(lasted):
         entry = i.HostEntry("a", 1, weight=200.0, out_since=rig.now - lasted)
         rig.step(0.0, i.Hosts(i.ListKind.DELTA, [entry]))
+
     out(5.0)
     rig.message(1)
     rig.outcome(1, R.OK)
-    assert rig.relay.links["a"].ramp is not None   # and nothing is asked of it until long after
+    assert rig.relay.links["a"].ramp is not None  # and nothing is asked of it until long after
     rig.step(70.0)
     out(1.0)
     assert of(i.Send, rig.message(2))
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -13,8 +13,10 @@
 
 def plain_rising(shares, weights):
     """The isotonic regression by its max-min formula: slow, and surely right."""
+
     def mean(i, j):
-        return sum(s * w for s, w in zip(shares[i:j + 1], weights[i:j + 1], strict=True)) / sum(weights[i:j + 1])
+        return sum(s * w for s, w in zip(shares[i : j + 1], weights[i : j + 1], strict=True)) / sum(weights[i : j + 1])
+
     n = len(shares)
     return [max(min(mean(i, j) for j in range(k, n)) for i in range(k + 1)) for k in range(n)]
 
@@ -91,11 +93,20 @@
     assert known.may_use("s", 0, 1.0, careful=False) and not known.may_use("s", 0, 1.0, careful=True)
 
 
-@pytest.mark.parametrize("text, named", [
-    ('{"on": true, "careful": 0}', "$.careful"), ('{"on": true, "bold": 2}', "$.bold"), ('{"on": true, "x": 1}', "x"),
-    ('{"on": true, "careful": 0.5, "bold": 0.1}', "careful must be at most bold"), ('{"cap": 0}', "$.cap"),
-    ('{"idle_life": 0.01, "round_trip": 0.05}', "idle_life must be above round_trip"), ('{"used": 1}', "$.used"),
-    ('{"handshakes": 0}', "$.handshakes"), ('{"file": "../x"}', "$.file")])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"on": true, "careful": 0}', "$.careful"),
+        ('{"on": true, "bold": 2}', "$.bold"),
+        ('{"on": true, "x": 1}', "x"),
+        ('{"on": true, "careful": 0.5, "bold": 0.1}', "careful must be at most bold"),
+        ('{"cap": 0}', "$.cap"),
+        ('{"idle_life": 0.01, "round_trip": 0.05}', "idle_life must be above round_trip"),
+        ('{"used": 1}', "$.used"),
+        ('{"handshakes": 0}', "$.handshakes"),
+        ('{"file": "../x"}', "$.file"),
+    ],
+)
 def test_a_wrong_key_is_named(text, named):
     with pytest.raises(OptionError) as bad:
         choice.read(text.encode())
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -36,12 +36,11 @@
 def test_failures_and_lost_replies_never_let_the_period_pass_unasked(kind, seed):
     times = asked(Rig(subscribe=True, ask_within=WITHIN, seed=seed), 300, lambda n: kind)
     gaps = [b - a for a, b in zip([100.0, *times], times, strict=False)]
-    assert max(gaps) < WITHIN and min(gaps[1:]) >= 1.0   # and none while one is unanswered
+    assert max(gaps) < WITHIN and min(gaps[1:]) >= 1.0  # and none while one is unanswered
 
 
 def test_a_fleet_that_starts_together_does_not_ask_at_once():
-    first = [asked(Rig(subscribe=True, ask_within=WITHIN, seed=n), 9, lambda n: i.ListKind.DELTA)[0]
-             for n in range(40)]
+    first = [asked(Rig(subscribe=True, ask_within=WITHIN, seed=n), 9, lambda n: i.ListKind.DELTA)[0] for n in range(40)]
     assert max(first) - min(first) > WITHIN / 4
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -24,6 +24,7 @@
     def begin(backends, **more):
         programs.append(Program(tmp_path, backends, admin="127.0.0.1:0", **more))
         return programs[-1]
+
     yield begin
     for program in programs:
         program.close()
@@ -60,6 +61,7 @@
 
 # --- The address.
 
+
 class Calls:
     """A desk that says what it was asked."""
 
@@ -74,6 +76,7 @@
             if name == "active":
                 raise RuntimeError("a bug")
             return ["a 1", "b 2"] if name == "stats" else "done"
+
         return asked
 
 
@@ -83,8 +86,20 @@
     assert answer(desk, b"stats") == b"a 1\nb 2\n.\n" and desk.asked.pop() == ("stats",)
     assert answer(desk, b"status") == b"-ERR stopping\n" and desk.asked.pop() == ("status",)
     assert answer(desk, b"active").startswith(b"-ERR the call failed") and desk.asked.pop() == ("active",)
-    for line in (b"", b"  ", b"maint-on", b"maint-on a b", b"standby now", b"reboot", b"STATUS", b"\xff\xfe", b"\0",
-                 b"maint-off \x01", b"maint-on " + b"x" * 300, b"x" * 400):
+    for line in (
+        b"",
+        b"  ",
+        b"maint-on",
+        b"maint-on a b",
+        b"standby now",
+        b"reboot",
+        b"STATUS",
+        b"\xff\xfe",
+        b"\0",
+        b"maint-off \x01",
+        b"maint-on " + b"x" * 300,
+        b"x" * 400,
+    ):
         assert re.fullmatch(rb"-ERR [ -~]+\n", answer(desk, line)), line
     assert desk.asked == []
 
@@ -99,7 +114,7 @@
         assert call(program, "status") == "+OK taking clients"
     assert time.monotonic() - began < 1.0
     assert raw(program, b"x" * (MOST_LINE + 1)).startswith("-ERR the line is too long")
-    assert raw(program, b"status\nstandby\n") == "+OK taking clients\n"   # one line to a connection
+    assert raw(program, b"status\nstandby\n") == "+OK taking clients\n"  # one line to a connection
     assert raw(program, b"\xff\n").startswith("-ERR") and raw(program, b"\n").startswith("-ERR")
     assert call(program, "status") == "+OK taking clients"
     for sock in idle:
@@ -107,8 +122,14 @@
 
 
 def test_without_the_address_nothing_of_it_is_imported(tmp_path):
-    names = ["linkdock.service.operations", "linkdock.protocol.admin", "linkdock.state.figures",
-             "linkdock.state.rotation", "linkdock.state.duty", "linkdock.protocol.exposition"]
+    names = [
+        "linkdock.service.operations",
+        "linkdock.protocol.admin",
+        "linkdock.state.figures",
+        "linkdock.state.rotation",
+        "linkdock.state.duty",
+        "linkdock.protocol.exposition",
+    ]
     code = f"import sys, linkdock.service.run; print([n for n in {names!r} if n in sys.modules])"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout.strip() == "[]"
 
@@ -125,11 +146,12 @@
 
 # --- Figures.
 
+
 def test_every_ending_is_counted_once(start):
     server, discovery = Backend("s1"), Discovery()
     program = start([server], discovery=discovery, limits__max_open=4)
     told = figures(program)
-    assert {*told.values()} == {0, 1} and told["edge_relay_registry_entries"] == 1   # every series from the start
+    assert {*told.values()} == {0, 1} and told["edge_relay_registry_entries"] == 1  # every series from the start
     client = program.client()
     assert client.enqueue("aa01") == "+OK"
     line, _ = server.take()
@@ -138,9 +160,9 @@
     assert client.enqueue("aa02", cls="order") == "+OK"
     assert line.call() is not None
     assert figures(program)["edge_relay_open_requests"] == 1
-    line.answer(500)   # it may have run: over, by a notice
+    line.answer(500)  # it may have run: over, by a notice
     assert discovery.notice()["status"] == "undeliverable"
-    assert client.enqueue("aa03", d=1).startswith(("+OK", "-"))   # out of time at once
+    assert client.enqueue("aa03", d=1).startswith(("+OK", "-"))  # out of time at once
     gone = program.client()
     gone.send("ENQUEUE", "0" * 16, "aa04", "c=preview,d=6000,dest=1", b"x")
     gone.sock.close()
@@ -189,22 +211,23 @@
 
 # --- Out by hand.
 
+
 def test_an_endpoint_out_by_hand_gets_nothing_until_one_call_puts_it_back(start):
     one, two, discovery = Backend("s1"), Backend("s2"), Discovery()
     program = start([one, two], discovery=discovery)
     _, tell = discovery.watch()
-    for name in ("s1", "s2", "s1"):   # twice out, one call brings it back
+    for name in ("s1", "s2", "s1"):  # twice out, one call brings it back
         assert call(program, f"maint-on {name}").startswith("+OK")
     assert call(program, "maint-on s9").startswith("-ERR") and call(program, "maint-off s9").startswith("-ERR")
     assert figures(program)["edge_relay_out_of_rotation"] == 2
     client = program.client()
-    assert client.enqueue("ba01", "order", 30000) == "+OK"   # the story may take a while on a busy machine
-    tell(8, [one.row(), two.row()], whole=True)   # whatever is listed
+    assert client.enqueue("ba01", "order", 30000) == "+OK"  # the story may take a while on a busy machine
+    tell(8, [one.row(), two.row()], whole=True)  # whatever is listed
     tell(9, [one.row("gone")])
     tell(10, [one.row()])
     assert one.quiet() and two.quiet()
     program.kill()
-    program.start()   # also over a restart
+    program.start()  # also over a restart
     assert one.quiet() and two.quiet() and figures(program)["edge_relay_out_of_rotation"] == 2
     assert call(program, "maint-off s2").startswith("+OK") and call(program, "maint-off s2") == "+OK s2 was not out"
     line, (_, headers, _) = two.take()
@@ -237,7 +260,7 @@
         assert client.enqueue(f"bc0{n}") == "+OK"
     call(program, "maint-off s1")
     line, _ = server.take()
-    assert server.quiet()   # a single trial, not all that were held
+    assert server.quiet()  # a single trial, not all that were held
     line.answer(200)
     program.logged("returning")
 
@@ -273,12 +296,13 @@
 
 # --- Standby.
 
+
 def test_the_states_of_duty():
     duty = Duty()
-    assert duty.taking and duty.standby(10.0) and not duty.standby(10.0 + LAG)   # the second changes nothing
+    assert duty.taking and duty.standby(10.0) and not duty.standby(10.0 + LAG)  # the second changes nothing
     assert not duty.denies(10.0 + LAG) and duty.denies(10.1 + LAG) and duty.sends_away() == "standby"
     assert duty.active() and duty.taking and not duty.denies(20.0)
-    assert duty.active()   # without a standby before
+    assert duty.active()  # without a standby before
     duty.standby(30.0)
     duty.stop()
     assert not duty.active() and not duty.standby(31.0) and not duty.denies(99.0) and duty.sends_away() is None
@@ -290,14 +314,14 @@
     idle, busy = program.client(), program.client()
     assert idle.ask("PING") == "+PONG" and busy.enqueue("ca01") == "+OK"
     line, _ = server.take()
-    fresh = program.client()   # on its way when the call comes
+    fresh = program.client()  # on its way when the call comes
     assert call(program, "standby").startswith("+OK") and call(program, "standby").startswith("+OK")
-    assert idle.heard() == "" and busy.heard() == ""   # closed, both between commands
+    assert idle.heard() == "" and busy.heard() == ""  # closed, both between commands
     assert call(program, "status") == "-ERR standby"
-    assert fresh.enqueue("ca02") == "+OK" and fresh.heard() == ""   # served, then closed
+    assert fresh.enqueue("ca02") == "+OK" and fresh.heard() == ""  # served, then closed
     late = program.client()
     assert late.ask("PING") == "-ERR standby" and late.heard() == ""
-    line.answer(200)   # what was taken goes on to its end
+    line.answer(200)  # what was taken goes on to its end
     eventually(lambda: ops(figures(program), "preview", "fulfilled") == 1)
     assert call(program, "active") == "+OK taking clients" == call(program, "status")
     assert program.client().ask("PING") == "+PONG"
@@ -308,7 +332,7 @@
     call(program, "standby")
     began = time.monotonic()
     silent = Client(program.port)
-    assert silent.heard() == "" and time.monotonic() - began < 3.0   # well before 4 s
+    assert silent.heard() == "" and time.monotonic() - began < 3.0  # well before 4 s
     assert program.client().enqueue("cb01") == "-BUSY 1000"
     assert ops(figures(program), "preview", "throttled") == 1
     program.terminate()
@@ -332,4 +356,5 @@
 
 def test_every_call_is_known_by_the_desk_of_the_program():
     from linkdock.service.operations import Operations
+
     assert all(callable(getattr(Operations, method)) for method, _ in CALLS.values())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,7 @@
 def commands(data, size):
     parser, found = resp.CommandParser(), []
     for at in range(0, len(data), size):
-        parser.feed(data[at:at + size])
+        parser.feed(data[at : at + size])
         while True:
             try:
                 words = parser.next()
@@ -41,15 +41,19 @@
 
 
 @pytest.mark.parametrize("size", [1, 5, 1000])
-@pytest.mark.parametrize("text, body, keep", [
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", b"hi", True),
-    (b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", b"hi", False),
-    (b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 204 None\r\n\r\n", b"", True),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", b"hi", True)])
+@pytest.mark.parametrize(
+    "text, body, keep",
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", b"hi", True),
+        (b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", b"hi", False),
+        (b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 204 None\r\n\r\n", b"", True),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", b"hi", True),
+    ],
+)
 def test_answers_are_read_in_any_pieces(size, text, body, keep):
     parser, parts = http.AnswerParser(), []
     for at in range(0, len(text), size):
-        parts += parser.feed(text[at:at + size])
+        parts += parser.feed(text[at : at + size])
     assert b"".join(p.data for p in parts if isinstance(p, http.Body)) == body
     assert parts[-1] == http.Whole(keep) and parser.whole
 
@@ -59,23 +63,44 @@
     assert parts[-1] == http.Whole(False)
 
 
-@pytest.mark.parametrize("text", [
-    b"\n" * 20_000, b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + b"x" * 70_000,
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", b"ICY 200",
-    b"HTTP/1.1 2\xb20 OK\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: \xb2\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-2\r\nhi",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", b"HTTP/1.1 200 OK\r\n folded: x\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nhi"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"\n" * 20_000,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n" + b"x" * 70_000,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"ICY 200",
+        b"HTTP/1.1 2\xb20 OK\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: \xb2\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-2\r\nhi",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n folded: x\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\nhi",
+    ],
+)
 def test_what_is_no_answer_is_said_to_be_none(text):
     with pytest.raises(http.BadAnswer):
         http.AnswerParser().feed(text)
 
 
-@pytest.mark.parametrize("told, load", [
-    ("x0=0.4,x1=25", (0.4, 25.0)), (" x1=25 , x0=1, y=?", (1.0, 25.0)), ("", None), ("x1=25", None),
-    ("x0=0.4", None),
-    ("x0=nan,x1=25", None), ("x0=0.4,x1=inf", None), ("x0=0.4,x1=1e300", None), ("x0=-0.1,x1=25", None),
-    ("x0=0.4,x1=2_5", None), ("x0=1.4,x1=25", None), ("x0=0.4,x0=0.4,x1=25", None), ("x0=0.4,x1=²5", None)])
+@pytest.mark.parametrize(
+    "told, load",
+    [
+        ("x0=0.4,x1=25", (0.4, 25.0)),
+        (" x1=25 , x0=1, y=?", (1.0, 25.0)),
+        ("", None),
+        ("x1=25", None),
+        ("x0=0.4", None),
+        ("x0=nan,x1=25", None),
+        ("x0=0.4,x1=inf", None),
+        ("x0=0.4,x1=1e300", None),
+        ("x0=-0.1,x1=25", None),
+        ("x0=0.4,x1=2_5", None),
+        ("x0=1.4,x1=25", None),
+        ("x0=0.4,x0=0.4,x1=25", None),
+        ("x0=0.4,x1=²5", None),
+    ],
+)
 def test_a_load_report_counts_whole_or_not_at_all(told, load):
     backend = calls.Backend(None, None, None, None, None, 1.0, ["x0", "x1"])
     assert backend.load({"endpoint-load-metrics": told}) == load
@@ -83,6 +108,7 @@
 
 # --- Journal.
 
+
 def kept(n, size=100):
     return Kept(f"m{n}", "0", "preview", 1, 2e9, bytes([n % 256]) * size)
 
@@ -95,6 +121,7 @@
         most = max(most, sum(-(-f.stat().st_size // 512) * 512 for f in tmp_path.iterdir()))
         if names:
             replace(*names)
+
     monkeypatch.setattr(os, "replace", measure)
     journal, taken = Journal(tmp_path, limit), []
     for n in range(2000):
@@ -128,7 +155,7 @@
     assert again.take(kept(2))
     again.close()
     last = Journal(tmp_path, 1_000_000)
-    assert set(last.kept) == {"m0", "m1", "m2"}   # what came after the torn record can be read
+    assert set(last.kept) == {"m0", "m1", "m2"}  # what came after the torn record can be read
     last.close()
 
 
@@ -146,6 +173,7 @@
 
 # --- Wheel and table.
 
+
 def test_the_wheel_fires_in_order_never_early_and_takes_back_what_is_cancelled():
     wheel, fired = Wheel(0.005, 100.0), []
     wheel.after(0.05, lambda: fired.append("late"))
@@ -155,7 +183,7 @@
     other.cancel()
     wheel.advance(100.02 - 1e-6)
     assert fired == []
-    wheel.advance(200.0)   # after a stall all that is due fires, in order
+    wheel.advance(200.0)  # after a stall all that is due fires, in order
     assert fired == ["early", "late"]
     wheel.after(0.0, lambda: fired.append("next"))
     wheel.advance(200.01)
@@ -178,12 +206,12 @@
     wheel = Wheel(0.005, now[0], lambda: now[0], woken.append)
     assert wheel.next_due() == float("inf")
     first = wheel.after(1.0, lambda: fired.append("first"))
-    now[0] = 150.0   # it stood for long: a timer counts from now, not from the last advance
+    now[0] = 150.0  # it stood for long: a timer counts from now, not from the last advance
     wheel.after(0.02, lambda: fired.append("second"))
     assert 101.0 <= woken[0] < 101.01 and 150.02 <= woken[1] < 150.03
     first.cancel()
     assert wheel.next_due() == woken[1]
-    wheel.advance(woken[1])   # due then, whatever a division by the tick comes to
+    wheel.advance(woken[1])  # due then, whatever a division by the tick comes to
     assert fired == ["second"] and wheel.next_due() == float("inf")
     for _ in range(10_000):
         now[0] += 0.01
@@ -196,7 +224,7 @@
     table = ServerTable([apart])
     table.update([facade.Server(n, ("127.0.0.1", 1), 7) for n in "ab"], 1)
     table.told_wait(table.row("a"), 5.0)
-    table.told_wait(table.row("a"), 4.0)   # a shorter one does not cut it
+    table.told_wait(table.row("a"), 4.0)  # a shorter one does not cut it
     assert table.closed("a", 4.9, 7) and bool(table.closed("b", 4.9, 7)) is not apart
     assert table.closed("a", 5.0, 7) is None
     fresh = Roster()
@@ -207,9 +235,16 @@
 
 # --- Configuration.
 
+
 def told(**more):
-    return {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff",
-            "settings": settings(), **more}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "seed": "ff",
+        "settings": settings(),
+        **more,
+    }
 
 
 def test_the_configuration_is_read_with_its_defaults(tmp_path):
@@ -219,15 +254,20 @@
     assert read.repeatable(read.classes["preview"]) and not read.repeatable(read.classes["order"])
 
 
-@pytest.mark.parametrize("change, key", [
-    (lambda t: t.pop("seed"), "seed is missing"), (lambda t: t.update(listen="here"), "listen must be"),
-    (lambda t: t["settings"].pop("limits"), "settings.limits is missing"),
-    (lambda t: t["settings"]["limits"].update({"max-open": 0}), "settings.limits.max-open must be at least"),
-    (lambda t: t["settings"]["extra"].update({"calls-out": True}), "settings.extra.calls-out must be a"),
-    (lambda t: t["settings"]["extra"].update({"bundle-max": [1, 0]}), r"settings.extra.bundle-max\[1\]"),
-    (lambda t: t["settings"]["grades"][0].update(idempotency="x"), r"settings.grades\[0\].idempotency"),
-    (lambda t: t["settings"].update(me=3), "settings.me must be below"),
-    (lambda t: t.update(limits={"disk_mb": "3"}), "limits.disk_mb must be a number")])
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        (lambda t: t.pop("seed"), "seed is missing"),
+        (lambda t: t.update(listen="here"), "listen must be"),
+        (lambda t: t["settings"].pop("limits"), "settings.limits is missing"),
+        (lambda t: t["settings"]["limits"].update({"max-open": 0}), "settings.limits.max-open must be at least"),
+        (lambda t: t["settings"]["extra"].update({"calls-out": True}), "settings.extra.calls-out must be a"),
+        (lambda t: t["settings"]["extra"].update({"bundle-max": [1, 0]}), r"settings.extra.bundle-max\[1\]"),
+        (lambda t: t["settings"]["grades"][0].update(idempotency="x"), r"settings.grades\[0\].idempotency"),
+        (lambda t: t["settings"].update(me=3), "settings.me must be below"),
+        (lambda t: t.update(limits={"disk_mb": "3"}), "limits.disk_mb must be a number"),
+    ],
+)
 def test_a_faulty_configuration_names_its_key(tmp_path, change, key):
     wrong = json.loads(json.dumps(told()))
     change(wrong)
@@ -247,7 +287,7 @@
     assert journal.take(kept)
     journal.close()
     other = tmp_path / "other"
-    files = [os.open(other, os.O_RDWR | os.O_CREAT) for _ in range(3)]   # one of them has its descriptor now
+    files = [os.open(other, os.O_RDWR | os.O_CREAT) for _ in range(3)]  # one of them has its descriptor now
     assert not journal.sent("aa01", 0) and not journal.take(Kept("aa02", "0" * 16, "order", 1, 2e9, b"body"))
     journal.end("aa01")
     assert other.read_bytes() == b""
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -29,8 +29,14 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 def test_the_show_says_what_to_try_and_leaves_nothing_behind(tmp_path, number):
     env = {key: value for key, value in os.environ.items() if not key.startswith(("RELAY_", "LINKDOCK_"))}
-    show = subprocess.Popen([sys.executable, "-m", "linkdock.lab.processes"], cwd=ROOT, text=True,
-                            env={**env, "TMPDIR": str(tmp_path)}, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+    show = subprocess.Popen(
+        [sys.executable, "-m", "linkdock.lab.processes"],
+        cwd=ROOT,
+        text=True,
+        env={**env, "TMPDIR": str(tmp_path)},
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+    )
     try:
         said = ""
         for line in show.stdout:
@@ -39,12 +45,20 @@
                 break
         pids = [int(pid) for pid in re.findall(r"pid (\d+)", said)]
         tries = re.findall(r"^  \S+ (-m linkdock\S* (?:ask|tell) .*?)(?: {3,}.*)?$", said, re.M)
-        heard = [subprocess.run([sys.executable, *words.split()], cwd=ROOT, capture_output=True, text=True,
-                                timeout=10).stdout for words in tries]
-        assert [text.split()[0] for text in heard] == ["+PONG", "+OK", "edge_relay_operations{priority=\"preview\","
-                                                       "status=\"fulfilled\"}", "+OK"]
+        heard = [
+            subprocess.run(
+                [sys.executable, *words.split()], cwd=ROOT, capture_output=True, text=True, timeout=10
+            ).stdout
+            for words in tries
+        ]
+        assert [text.split()[0] for text in heard] == [
+            "+PONG",
+            "+OK",
+            'edge_relay_operations{priority="preview",' 'status="fulfilled"}',
+            "+OK",
+        ]
         assert len(pids) == 3 and len(list(tmp_path.iterdir())) == 3
-        os.kill(pids[1], signal.SIGKILL)   # one that dies by itself is said, and ends nothing else
+        os.kill(pids[1], signal.SIGKILL)  # one that dies by itself is said, and ends nothing else
         for line in show.stdout:
             said += line
             if "n2 has ended by itself, status -9" in line:
@@ -75,18 +89,21 @@
 
     async def fail():
         async with Fleet(history, 3, told=QUICK) as fleet:
-            fleet.processes["a1"].signal(signal.SIGSTOP)   # the worst case to be ended
+            fleet.processes["a1"].signal(signal.SIGSTOP)  # the worst case to be ended
             raise KeyError("of the harness")
+
     with pytest.raises(KeyError):
         asyncio.run(fail())
     pids = [one["pid"] for one in history.events if one["event"] == "begins"]
     assert len(pids) == 3 and not any(here(pid) for pid in pids) and not list(tmp_path.iterdir())
 
-    text = ("import asyncio, sys\nfrom linkdock.lab.processes.history import History\n"
-            "from linkdock.lab.processes.play import Fleet\n"
-            "async def run():\n    async with Fleet(History(), 3) as fleet:\n"
-            "        print(*(one.process.pid for one in fleet.processes.values()), flush=True)\n"
-            "        await asyncio.sleep(60)\nasyncio.run(run())")
+    text = (
+        "import asyncio, sys\nfrom linkdock.lab.processes.history import History\n"
+        "from linkdock.lab.processes.play import Fleet\n"
+        "async def run():\n    async with Fleet(History(), 3) as fleet:\n"
+        "        print(*(one.process.pid for one in fleet.processes.values()), flush=True)\n"
+        "        await asyncio.sleep(60)\nasyncio.run(run())"
+    )
     harness = subprocess.Popen([sys.executable, "-c", text], cwd=ROOT, stdout=subprocess.PIPE, text=True)
     try:
         pids = harness.stdout.readline().split()
@@ -107,7 +124,7 @@
     with pytest.raises(RuntimeError, match="git archive no-such-revision"):
         older("no-such-revision", tmp_path / "none")
     tree = older("HEAD", tmp_path / "tree")
-    source = (tmp_path / "tree" / "linkdock" / "service" / "run.py")
+    source = tmp_path / "tree" / "linkdock" / "service" / "run.py"
     source.write_text(source.read_text().replace('"%s listens on', '"%s of another tree listens on'))
 
     async def run():
@@ -121,4 +138,5 @@
         finally:
             child.close()
             agent.close()
+
     asyncio.run(run())
--- a/tests/test_processes_parts.py
+++ b/tests/test_processes_parts.py
@@ -32,9 +32,16 @@
     assert kinds == {*schedule.WAYS, *schedule.PROCESSES}
 
 
-@pytest.mark.parametrize("fault", [
-    Fault(1.0, "flood", ("a1",)), Fault(1.0, schedule.CUT, ("a1",), 1.0), Fault(1.0, schedule.STOP, ("x",), 1.0),
-    Fault(7.5, schedule.STOP, ("a1",), 1.0), Fault(-1.0, schedule.KILL, ("a1",), 1.0)])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        Fault(1.0, "flood", ("a1",)),
+        Fault(1.0, schedule.CUT, ("a1",), 1.0),
+        Fault(1.0, schedule.STOP, ("x",), 1.0),
+        Fault(7.5, schedule.STOP, ("a1",), 1.0),
+        Fault(-1.0, schedule.KILL, ("a1",), 1.0),
+    ],
+)
 def test_a_schedule_that_cannot_be_played_is_refused(fault):
     with pytest.raises(ValueError, match=fault.what):
         schedule.check([fault], list(ZONES), 8.0)
@@ -86,6 +93,7 @@
 
 def through(work, seed=1):
     """Run `work(net, there, reader, writer, asker, udp)` with a connection from a to b."""
+
     async def run():
         loop, there = asyncio.get_running_loop(), There()
         server = await loop.create_server(lambda: there, "127.0.0.1", 0)
@@ -105,6 +113,7 @@
             net.close()
             server.close()
             udp.close()
+
     asyncio.run(run())
 
 
@@ -121,7 +130,7 @@
         net.heal(1, cut)
         assert await reader.readexactly(6) == b" THERE"
         udp.sendto(b"more")
-        assert await asker.heard.get() == b"MORE"   # what was cut off is lost
+        assert await asker.heard.get() == b"MORE"  # what was cut off is lost
         there_too = Fault(0.0, schedule.CUT, ("a", "b"), 1.0)
         net.begin(2, there_too)
         writer.write(b" late")
@@ -133,6 +142,7 @@
         net.heal(2, there_too)
         assert await reader.readexactly(5) == b" LATE" and await late.readexactly(5) == b" ANEW"
         assert len(there.datagrams) == 2
+
     through(work)
 
 
@@ -163,6 +173,7 @@
         await there.until(lambda: len(there.datagrams) == 52)
         came = [int(data) for data in there.datagrams[2:]]
         assert sorted(came) == list(range(50)) != came
+
     through(work)
 
 
@@ -177,7 +188,7 @@
             await reader.read(1000)
             await reader.read()
         await asyncio.sleep(0.05)
-        assert len(there.open) == 1   # it is told nothing
+        assert len(there.open) == 1  # it is told nothing
         net.heal(2, half)
         await there.until(lambda: not there.open)
         again, writer = await asyncio.open_connection("127.0.0.1", net.links["a", "b"].port)
@@ -187,6 +198,7 @@
         with pytest.raises(ConnectionResetError):
             await again.read()
         await there.until(lambda: not there.open)
+
     through(work)
 
 
@@ -202,9 +214,10 @@
         assert near._held <= links.MOST_HELD + (256 << 10)
         net.heal(1, Fault(0.0, schedule.CUT, ("a", "b")))
         writer.write(b"end")
-        reading = asyncio.create_task(reader.read(-1))   # what is cried back
+        reading = asyncio.create_task(reader.read(-1))  # what is cried back
         await there.until(lambda: there.stream.endswith(b"end"))
         reading.cancel()
+
     through(work)
 
 
@@ -212,10 +225,13 @@
 
 
 def test_a_point_holds_its_process_at_the_count_that_was_asked():
-    text = ("from linkdock.cluster.points import point\n"
-            "for _ in range(5):\n    point('other'); point('here'); print('on')")
-    child = subprocess.Popen([sys.executable, "-uc", text], stdout=subprocess.PIPE, text=True,
-                             env={**os.environ, "LINKDOCK_POINT": "here:3"})
+    text = (
+        "from linkdock.cluster.points import point\n"
+        "for _ in range(5):\n    point('other'); point('here'); print('on')"
+    )
+    child = subprocess.Popen(
+        [sys.executable, "-uc", text], stdout=subprocess.PIPE, text=True, env={**os.environ, "LINKDOCK_POINT": "here:3"}
+    )
     try:
         assert [child.stdout.readline() for _ in range(3)] == ["on\n", "on\n", '{"event": "point", "name": "here"}\n']
         _, status = os.waitpid(child.pid, os.WUNTRACED)
@@ -239,6 +255,7 @@
         nonlocal at
         at += 0.1
         events.append({"at": round(at, 3), "who": who, "event": event, **more})
+
     for n, who in enumerate("abc"):
         say(who, "begins", life=1, fresh=True)
         say(who, "node", id=f"{who}~{n}")
@@ -271,38 +288,44 @@
 def change(event, nth=0, **more):
     def doctor(events):
         [one for one in events if one["event"] == event][nth].update(more)
+
     return doctor
 
 
 def drop(event):
     def doctor(events):
         events[:] = [one for one in events if one["event"] != event]
+
     return doctor
 
 
-@pytest.mark.parametrize("name, doctor, found", [
-    ("one_order", change("applied", 1, op="other"), "entry 2 is other at b"),
-    ("one_order", change("applied", 5, index=1), "c applied entry 1 after 2"),
-    ("one_order", change("applied", 5, op="x"), "entry 3 is x at c"),
-    ("one_order", change("applied", 4, index=4), "b applied entry 4 after 2, without 3"),
-    ("linearizable", change("answered", 1, index=7), "y was acknowledged as entry 7 and is entry 3"),
-    ("linearizable", change("answered", 2, index=1), "z is entry 1, though 3 was"),
-    ("linearizable", change("reading", index=2), "a read at b"),
-    ("kept", change("final", 1, ops={"x": 2, "z": 10}), "b lacks 1 acknowledged proposals, such as y"),
-    ("kept", change("final", 2, ops={"x": 3, "y": 3, "z": 10}), "c lacks 1"),
-    ("kept", drop("final"), "no process said"),
-    ("one_leader", change("leads", 1, term=1), "term 1 is led by a~0 and by c~7"),
-    ("one_owner", change("holds", 0, until=99.0), "job: b (token 4) until 99.000 s, c (token 9)"),
-    ("one_owner", change("used", 2, ok=True), "job let b in with token 4 after 9 of c"),
-    ("one_owner", change("used", 1, token=4), "job let c in with token 4 after 4 of b"),
-    ("new_ids", change("node", 3, id="c~2"), "its folder lost"),
-    ("new_ids", change("begins", 3, fresh=False), "its folder kept"),
-    ("new_ids", change("node", 1, id="a~0"), "a~0 is both a and b"),
-    ("sound", change("ended", expected=False), "c ended by itself, status -9"),
-    ("sound", change("fault", what="stop"), "the node of b gave up: LD-CLUSTER-DISK"),
-    ("lively", change("answered", 2, at=99.0), "no commit within 5 s of the healing but after"),
-    ("lively", change("answered", 2, ok=False), "no commit within 5 s"),
-    ("lively", drop("healed all"), "not all was healed")])
+@pytest.mark.parametrize(
+    "name, doctor, found",
+    [
+        ("one_order", change("applied", 1, op="other"), "entry 2 is other at b"),
+        ("one_order", change("applied", 5, index=1), "c applied entry 1 after 2"),
+        ("one_order", change("applied", 5, op="x"), "entry 3 is x at c"),
+        ("one_order", change("applied", 4, index=4), "b applied entry 4 after 2, without 3"),
+        ("linearizable", change("answered", 1, index=7), "y was acknowledged as entry 7 and is entry 3"),
+        ("linearizable", change("answered", 2, index=1), "z is entry 1, though 3 was"),
+        ("linearizable", change("reading", index=2), "a read at b"),
+        ("kept", change("final", 1, ops={"x": 2, "z": 10}), "b lacks 1 acknowledged proposals, such as y"),
+        ("kept", change("final", 2, ops={"x": 3, "y": 3, "z": 10}), "c lacks 1"),
+        ("kept", drop("final"), "no process said"),
+        ("one_leader", change("leads", 1, term=1), "term 1 is led by a~0 and by c~7"),
+        ("one_owner", change("holds", 0, until=99.0), "job: b (token 4) until 99.000 s, c (token 9)"),
+        ("one_owner", change("used", 2, ok=True), "job let b in with token 4 after 9 of c"),
+        ("one_owner", change("used", 1, token=4), "job let c in with token 4 after 4 of b"),
+        ("new_ids", change("node", 3, id="c~2"), "its folder lost"),
+        ("new_ids", change("begins", 3, fresh=False), "its folder kept"),
+        ("new_ids", change("node", 1, id="a~0"), "a~0 is both a and b"),
+        ("sound", change("ended", expected=False), "c ended by itself, status -9"),
+        ("sound", change("fault", what="stop"), "the node of b gave up: LD-CLUSTER-DISK"),
+        ("lively", change("answered", 2, at=99.0), "no commit within 5 s of the healing but after"),
+        ("lively", change("answered", 2, ok=False), "no commit within 5 s"),
+        ("lively", drop("healed all"), "not all was healed"),
+    ],
+)
 def test_a_doctored_history_fails_its_check_and_the_good_one_none(name, doctor, found):
     events = told()
     assert checks.judge(events, 5.0) == []
--- a/tests/test_races_answers.py
+++ b/tests/test_races_answers.py
@@ -42,18 +42,21 @@
             await say(r, call, sock, ahead[:cut])
             if cut < len(ahead):
                 await say(r, call, sock, ahead[cut:])
-            await pass_time(r, 3.0)   # the call takes its time
+            await pass_time(r, 3.0)  # the call takes its time
             assert r.desk.ends == []
             await r.loop.sock_sendall(sock, OK)
             await run
             assert r.desk.ends == [DELIVERED]
             sock.close()
+
     asyncio.run(story())
 
 
 @pytest.mark.parametrize("cut", range(1, 17))
-@pytest.mark.parametrize("then, how", [("nothing", ERROR), ("close", RESET), ("reset", RESET), ("the rest", DELIVERED),
-                                       ("its time is up", TIMED_OUT)])
+@pytest.mark.parametrize(
+    "then, how",
+    [("nothing", ERROR), ("close", RESET), ("reset", RESET), ("the rest", DELIVERED), ("its time is up", TIMED_OUT)],
+)
 def test_a_first_line_in_pieces_counts_once_it_is_whole(cut, then, how):
     async def story():
         async with rig() as r:
@@ -71,25 +74,31 @@
             await run
             assert r.desk.ends == [how]
             sock.close()
+
     asyncio.run(story())
 
 
-@pytest.mark.parametrize("text, how", [
-    (b"HTTP/1.1 503 No\r\nX: y\r\n", ERROR),                              # a head that never ends
-    (b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nxx", ERROR),           # a body that never ends
-    (b"HTTP/1.1 429 No\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx", ERROR),
-    (b"HTTP/1.1 200 OK\r\nX: y\r\n", DELIVERED),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nxx", DELIVERED)])
+@pytest.mark.parametrize(
+    "text, how",
+    [
+        (b"HTTP/1.1 503 No\r\nX: y\r\n", ERROR),  # a head that never ends
+        (b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nxx", ERROR),  # a body that never ends
+        (b"HTTP/1.1 429 No\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx", ERROR),
+        (b"HTTP/1.1 200 OK\r\nX: y\r\n", DELIVERED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nxx", DELIVERED),
+    ],
+)
 def test_an_answer_that_never_ends_frees_its_call_and_its_connection(text, how):
     async def story():
         async with rig() as r:
             call, run, sock = await begun(r)
             await say(r, call, sock, text)
-            assert r.desk.ends == ([DELIVERED] if how == DELIVERED else [])   # its first line is true at once
+            assert r.desk.ends == ([DELIVERED] if how == DELIVERED else [])  # its first line is true at once
             await pass_time(r, 0.6)
             await run
             assert r.desk.ends == [how] and not len(r.pool)
             sock.close()
+
     asyncio.run(story())
 
 
@@ -107,6 +116,7 @@
             await run
             assert r.desk.ends == [ERROR, ERROR]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -126,6 +136,7 @@
             await run
             assert r.desk.ends == [how, how]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -137,20 +148,26 @@
     Harmless: a repeat of what was delivered is answered so once more, a notice about it does nothing, and what may not
     be repeated goes out no second time, as this is no proof.
     """
+
     async def story():
         async with rig() as r:
             call, run, sock = await begun(r)
             stream = call._connection.stream
 
             def give_up():
-                {"late": lambda: call._late("aa00"), "cancel": lambda: call.cancel("aa00"),
-                 "end of the process": run.cancel}[what]()
+                {
+                    "late": lambda: call._late("aa00"),
+                    "cancel": lambda: call.cancel("aa00"),
+                    "end of the process": run.cancel,
+                }[what]()
+
             if read:
                 real = stream._handle_read
 
                 def handle_read():
                     real()
                     give_up()
+
                 stream._handle_read = handle_read
                 await r.loop.sock_sendall(sock, OK)
             else:
@@ -160,6 +177,7 @@
             await asyncio.wait([run], timeout=20)
             assert r.desk.ends == [how] and not len(r.pool) and stream.closed()
             sock.close()
+
     asyncio.run(story())
 
 
@@ -171,15 +189,17 @@
             await run
             assert r.desk.ends == [DELIVERED] and not len(r.pool)
             sock.close()
-            _, run, sock = await begun(r)   # a connection of its own
+            _, run, sock = await begun(r)  # a connection of its own
             reset(sock)
             await run
             assert r.desk.ends == [DELIVERED, RESET]
+
     asyncio.run(story())
 
 
-@pytest.mark.parametrize("early, how", [
-    (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", TURNED_AWAY), (b"HTTP/1.1 2", ERROR)])
+@pytest.mark.parametrize(
+    "early, how", [(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", TURNED_AWAY), (b"HTTP/1.1 2", ERROR)]
+)
 def test_an_answer_before_the_request_is_written_counts_once_the_request_is(early, how):
     async def story():
         async with rig(small=True) as r:
@@ -193,6 +213,7 @@
             await run
             assert r.desk.ends == [how]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -203,9 +224,10 @@
             sock = await r.accept()
             await r.until(lambda: call._connection is not None and call._connection.stream.writing())
             await r.loop.sock_sendall(sock, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-            sock.close()   # over unread bytes: a reset
+            sock.close()  # over unread bytes: a reset
             await run
             assert r.desk.ends == [NOT_CONNECTED]
+
     asyncio.run(story())
 
 
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -44,6 +44,7 @@
         assert await rig.heard(sock, 1) == [b"+OK"] and rig.asked == ["aa01"]
         sock.sendall(message(b"aa02"))
         assert await rig.heard(sock, 1) == [b"+OK"]
+
     played(story)
 
 
@@ -54,16 +55,18 @@
         sock, data = rig.client(), message(b"aa01")
         await at_the_deadline(rig, sock, data[:30])
         began = rig.loop.time()
-        assert await rig.heard(sock) == [] and rig.loop.time() < began + 0.09   # and has no more time for it
+        assert await rig.heard(sock) == [] and rig.loop.time() < began + 0.09  # and has no more time for it
         sock.sendall(data[30:])
         while len(rig.front):
             await asyncio.sleep(0)
         assert rig.asked == []
+
     played(story)
 
 
 def test_who_waits_in_the_queue_when_the_listening_socket_is_closed_is_let_in_first():
     """More than one turn takes, connected and asking before this process looked. Closed over, they are all reset."""
+
     async def story(rig: Rig):
         await asyncio.sleep(0)
         clients = [rig.client() for _ in range(BATCH + 20)]
@@ -74,6 +77,7 @@
             assert await rig.heard(sock) == [b"+OK"]
         with pytest.raises(ConnectionRefusedError):
             rig.client()
+
     played(story, most=200, usual=200)
 
 
@@ -86,6 +90,7 @@
         other.setblocking(False)
         assert other.accept()[1] == sock.getsockname()
         other.close()
+
     played(story)
 
 
@@ -96,9 +101,17 @@
         self.loop, self.discovery = asyncio.get_running_loop(), Discovery()
         state = tmp_path / "state"
         state.mkdir()
-        config = check({"name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.dial, "seed": "8c1f30d2",
-                        "known": {"seq": 7, "whole": True, "hosts": [server.row()]},
-                        "settings": settings(**more)}, state)
+        config = check(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": self.discovery.dial,
+                "seed": "8c1f30d2",
+                "known": {"seq": 7, "whole": True, "hosts": [server.row()]},
+                "settings": settings(**more),
+            },
+            state,
+        )
         self.process = Process(config)
         self.process._stop = stop or self.process._stop
         self.ended = self.loop.create_task(self.process.run())
@@ -128,22 +141,26 @@
             for number, handler in before.items():
                 asyncio.get_running_loop().remove_signal_handler(number)
                 signal.signal(number, handler)
+
     asyncio.run(whole())
 
 
 def answering(server):
     """Every call is answered, whatever comes."""
+
     def serve():
         with contextlib.suppress(OSError):
             while True:
                 line, _ = server.take()
                 line.answer(200, Connection="close")
                 line.close()
+
     threading.Thread(target=serve, daemon=True).start()
 
 
 def test_what_comes_on_an_idle_connection_in_the_moment_of_the_stop_is_answered_before_the_process_leaves(
-        tmp_path, monkeypatch):
+    tmp_path, monkeypatch
+):
     """It lay in the socket when idle connections were closed; nothing else kept the process."""
     monkeypatch.setattr(run, "ACCEPT_FOR", 0.05)
 
@@ -165,14 +182,16 @@
 
         def dropped(stream, why):
             if stream in frontend._places and late:
-                sock.sendall(late.pop(0))   # and this in the moment of the close, after the answer
+                sock.sendall(late.pop(0))  # and this in the moment of the close, after the answer
             drop(stream, why)
+
         frontend.stop_accepting, frontend._drop = stopped, dropped
         life.process.stop()
-        assert await life.heard(sock, whole=True) == b"+OK\r\n"   # not reset; aa03 comes again on a new connection
+        assert await life.heard(sock, whole=True) == b"+OK\r\n"  # not reset; aa03 comes again on a new connection
         sock.close()
         assert await life.ended == 0 and not late
         assert not Journal(tmp_path / "state", 3_000_000).kept
+
     lived(story)
 
 
@@ -182,7 +201,7 @@
     async def wait(self):
         await super().wait()
         self.client.sendall(message(b"late"))
-        for _ in range(50):   # turns of the loop, and no beat
+        for _ in range(50):  # turns of the loop, and no beat
             await asyncio.sleep(0)
 
 
@@ -192,7 +211,7 @@
         monkeypatch.setattr(run, name, value, raising=False)
 
     async def story():
-        server = Backend("s1")   # never answers: the process stays up to its last moment
+        server = Backend("s1")  # never answers: the process stays up to its last moment
         life = Life(tmp_path, server, Held(), tick=0.2)
         used, asked = life.client(), []
         used.sendall(message(b"aa01"))
@@ -202,20 +221,23 @@
         def ask(cls, destination, left, request, *rest, **more):
             asked.append(request.id)
             plain(cls, destination, left, request, *rest, **more)
+
         life.process.sender.ask = ask
-        rests = life.process._stop.client = life.client()   # says nothing until the end
+        rests = life.process._stop.client = life.client()  # says nothing until the end
         last = life.client()
         end = getattr(life.process.frontend, "end", None)
 
         def ended():
-            last.sendall(message(b"last"))   # this one in time
+            last.sendall(message(b"last"))  # this one in time
             end()
+
         life.process.frontend.end = ended
         life.process.stop()
         heard = [await life.heard(sock, whole=True) for sock in (rests, last)]
         assert await life.ended == 0
         assert heard.count(b"+OK\r\n") == len(asked) and heard == [b"", b"+OK\r\n"]
         assert set(Journal(tmp_path / "state", 3_000_000).kept) == {"aa01", "last"}
+
     lived(story)
 
 
@@ -243,8 +265,10 @@
     assert program.wait() == 0
 
 
-@pytest.mark.parametrize("signals", [(signal.SIGTERM, signal.SIGHUP, signal.SIGTERM),
-                                     (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)])
+@pytest.mark.parametrize(
+    "signals",
+    [(signal.SIGTERM, signal.SIGHUP, signal.SIGTERM), (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP)],
+)
 def test_sigterm_again_and_with_sighup_ends_once_and_the_new_configuration_counts(start, signals):
     server, moved = Backend("s1"), Discovery()
     program = start([server])
@@ -255,7 +279,7 @@
     for number in signals:
         program.process.send_signal(number)
     assert moved.watch()[0].startswith("GET")
-    line.answer(500)   # it may have run: its end is a notice, which goes to the new address
+    line.answer(500)  # it may have run: its end is a notice, which goes to the new address
     assert moved.notice() == {"id": "aa01", "status": "undeliverable"}
     assert client.heard() == "" and program.wait() == 0
     assert sum("stopping" in said for said in program.log) == 1 and not owed(program)
@@ -265,6 +289,7 @@
 @pytest.mark.parametrize("seen", [False, True], ids=["just come", "seen"])
 def test_a_request_that_has_begun_when_clients_are_sent_away_is_answered_wherever_it_was(used, seen):
     """Whole, in halves or byte by byte; what had not begun on a used connection crosses its close."""
+
     async def story(rig: Rig):
         data, clients = message(b"aaaa"), []
         for at in (0, 1, 30, len(data) - 1, len(data)):
@@ -278,17 +303,18 @@
         for at, sock in clients:
             sock.sendall(data[:at])
         if seen:
-            await asyncio.sleep(4 * TICK)   # the whole one is answered meanwhile
+            await asyncio.sleep(4 * TICK)  # the whole one is answered meanwhile
         rig.front.stop_accepting(shared=False)
         for at, sock in clients:
             for n in range(at, len(data)):
                 with contextlib.suppress(ConnectionError):
-                    sock.sendall(data[n:n + 1])
+                    sock.sendall(data[n : n + 1])
                 if at == 1:
                     await asyncio.sleep(0)
             crossed = used and at == 0
             assert await rig.heard(sock) == ([] if crossed else [b"+OK"]), at
         assert len(rig.asked) == len(clients) - used
+
     played(story)
 
 
@@ -302,28 +328,33 @@
         def waiting(stream, read):
             there = plain(stream, read)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            sock.close()   # a reset
+            sock.close()  # a reset
             return there
+
         monkeypatch.setattr(front, "waiting", waiting)
 
         def ask(cls, destination, left, request, again, held, early=False):
             told.append(request.answer(Taken()))
+
         rig.ask = ask
         sock.sendall(message(b"aa01"))
         while len(rig.front) or not told:
             await asyncio.sleep(TICK)
         assert told == [False]
+
     played(story)
 
 
 def test_at_the_very_end_what_was_read_is_answered_and_nothing_more_is_read():
     """Of a client that always sends the next before it has its answer; its connection would never end."""
+
     async def story(rig: Rig):
         sock, waiting = rig.client(), []
 
         def ask(cls, destination, left, request, *rest, **more):
             rig.asked.append(request.id)
             waiting.append(request.answer)
+
         rig.ask = ask
         sock.sendall(message(b"aa01"))
         while not waiting:
@@ -338,12 +369,13 @@
                 await asyncio.sleep(0)
             assert waiting[n](Taken())
         assert await rig.heard(sock) == [b"+OK", b"+OK"] and rig.asked == ["aa01", "aa02"]
+
     played(story)
 
 
 def test_who_sends_again_and_again_after_sigterm_is_answered_or_not_taken_on_and_the_process_ends_in_time(start):
     """Its next request has always come before its answer, so that its connection is never silent."""
-    server = Backend("s1")   # never answers: the process stays as long as it may
+    server = Backend("s1")  # never answers: the process stays as long as it may
     program = start([server], limits__max_open=500)
     client, names, heard = program.client(), iter(f"aa{n:05}" for n in range(99_999)), []
     asked = [next(names)]
@@ -357,7 +389,7 @@
             if not (said := client.heard()):
                 break
             heard.append(said)
-    assert time.monotonic() - began < 3.4 + 1.5   # on a machine with much else to do
+    assert time.monotonic() - began < 3.4 + 1.5  # on a machine with much else to do
     assert program.wait() == 0
     assert len(heard) > 1 and all(said == "+OK" or said.startswith("-BUSY") for said in heard)
     taken = {name for name, said in zip(asked, heard, strict=False) if said == "+OK"}
@@ -365,5 +397,5 @@
     while not program.discovery.notices.empty():
         told = program.discovery.notice()
         ended[told["id"]] = told["status"]
-    assert set(owed(program)) | set(ended) == taken   # those that wait too long are handed back
+    assert set(owed(program)) | set(ended) == taken  # those that wait too long are handed back
     assert len(asked) - len(heard) <= 2
--- a/tests/test_races_close.py
+++ b/tests/test_races_close.py
@@ -54,6 +54,7 @@
                         with contextlib.suppress(ConnectionError):
                             sock.sendall(data)
             drop(stream, why)
+
         self.front._drop = hooked
 
     async def _turn(self):
@@ -103,6 +104,7 @@
             await asyncio.wait_for(story(rig), 60)
         finally:
             await rig.close()
+
     asyncio.run(whole())
 
 
@@ -128,7 +130,7 @@
 
 
 async def rests(rig, sock):
-    sock.sendall(message(b"first"))   # and then nothing, up to the idle limit
+    sock.sendall(message(b"first"))  # and then nothing, up to the idle limit
     return [b"+OK"]
 
 
@@ -139,7 +141,7 @@
 async def halves(rig, sock):
     sock.sendall(message(b"first"))
     await rig.heard(sock, 1)
-    sock.sendall(b"*5\r\n$7\r\nENQ")   # and no more
+    sock.sendall(b"*5\r\n$7\r\nENQ")  # and no more
     return []
 
 
@@ -147,7 +149,7 @@
     sock.sendall(message(b"first"))
     while not rig.asked:
         await asyncio.sleep(0)
-    rig.front.stop_accepting(shared=False)   # right after the answer was written, which nobody has read
+    rig.front.stop_accepting(shared=False)  # right after the answer was written, which nobody has read
     return [b"+OK"]
 
 
@@ -155,7 +157,7 @@
     sock.sendall(message(b"first"))
     while not rig.asked:
         await asyncio.sleep(0)
-    others = [rig.client() for _ in range(4)]   # as many as are kept
+    others = [rig.client() for _ in range(4)]  # as many as are kept
     await asyncio.sleep(2 * front.IDLE_FOR / 5)
     for n, other in enumerate(others):
         other.sendall(message(b"other%d" % n))
@@ -175,8 +177,18 @@
     return []
 
 
-WAYS = {quits: {}, errs: {}, garbles: {}, rests: {"IDLE_FOR": 0.1}, stays_unused: {"WHOLE": 0.1},
-        halves: {"WHOLE": 0.1}, is_stopped: {}, is_one_too_many: {"IDLE_FOR": 0.5}, makes_room: {}, is_too_large: {}}
+WAYS = {
+    quits: {},
+    errs: {},
+    garbles: {},
+    rests: {"IDLE_FOR": 0.1},
+    stays_unused: {"WHOLE": 0.1},
+    halves: {"WHOLE": 0.1},
+    is_stopped: {},
+    is_one_too_many: {"IDLE_FOR": 0.5},
+    makes_room: {},
+    is_too_large: {},
+}
 
 
 @pytest.mark.parametrize("way", WAYS, ids=lambda way: way.__name__)
@@ -188,19 +200,21 @@
     async def story(rig):
         sock = rig.client(late=LATE)
         expected = await way(rig, sock)
-        heard = await rig.heard(sock)   # raises ConnectionResetError where the connection was reset
+        heard = await rig.heard(sock)  # raises ConnectionResetError where the connection was reset
         assert heard == expected
         with contextlib.suppress(BrokenPipeError):
-            sock.sendall(message(b"later"))   # also after the close
+            sock.sendall(message(b"later"))  # also after the close
         sock.close()
         while len(rig.front):
             await asyncio.sleep(TICK)
         assert not {"late", "later"} & set(rig.asked)
+
     played(story, usual=16, most_held=40_000 if way is is_too_large else 1 << 20)
 
 
 def test_who_goes_on_byte_by_byte_after_its_error_still_reads_it():
     """What comes is thrown away by its bytes: counted by reads, eight bytes on their own were as good as a flood."""
+
     async def story(rig):
         sock = rig.client()
         sock.sendall(b"GET / HTTP/1.1\r\n")
@@ -208,6 +222,7 @@
             sock.sendall(b"x")
             await asyncio.sleep(TICK)
         assert await rig.heard(sock) == [b"-ERR Protocol error: expected '*'"]
+
     played(story)
 
 
@@ -242,6 +257,7 @@
             await rig.heard(sock)
         while len(rig.front):
             await asyncio.sleep(TICK)
+
     played(story)
     assert "Traceback" not in caplog.text
 
@@ -261,32 +277,48 @@
             data += more
         assert data == b"+OK taking clients\n"
         admin.close()
+
     played(story)
 
 
 def test_descriptors_of_connections_that_are_being_closed_are_bounded():
     async def story(rig):
         clients = []
-        for _ in range(60):   # each is told its error and stays
+        for _ in range(60):  # each is told its error and stays
             clients.append(rig.client())
             clients[-1].sendall(b"GET / HTTP/1.1\r\n")
             await rig.heard(clients[-1], 1)
             assert len(rig.front) <= 20 + rig.front._door.bulk()
         assert await rig.heard(clients[0]) == []
+
     played(story, most=20)
 
 
 def bad_inputs():
     """Each kind of bytes that are no message, by the words of the pages."""
     pairs = b"c=preview,d=6000,dest=1"
-    told = {"unreadable": b"\x16\x03\x01\x02\x00", "a line without end": b"*" + b"1" * 5000, "no line": b"*5",
-            "a wrong length": b"*5\r\n$3\r\nENQUEUE\r\n", "a negative length": b"*5\r\n$-7\r\n",
-            "a huge length": b"*5\r\n$7\r\nENQUEUE\r\n$99999999999\r\n", "negative words": b"*-5\r\n", "nothing": b"",
-            "60 MB": b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$3\r\nbad\r\n$%d\r\n%s\r\n$60000000\r\n" % (len(pairs), pairs)
-            + b"x" * 900_000, "half a command": message(b"bad")[:40], "many at once": message(b"bad") * 300}
-    wrong = {"no class": b"d=6000,dest=1", "an unknown class": b"c=none,d=6000,dest=1",
-             "no number": b"c=preview,d=x,dest=1", "an unknown destination": b"c=preview,d=6000,dest=77",
-             "twice": pairs + b",d=1", "no list": b"preview"}
+    told = {
+        "unreadable": b"\x16\x03\x01\x02\x00",
+        "a line without end": b"*" + b"1" * 5000,
+        "no line": b"*5",
+        "a wrong length": b"*5\r\n$3\r\nENQUEUE\r\n",
+        "a negative length": b"*5\r\n$-7\r\n",
+        "a huge length": b"*5\r\n$7\r\nENQUEUE\r\n$99999999999\r\n",
+        "negative words": b"*-5\r\n",
+        "nothing": b"",
+        "60 MB": b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$3\r\nbad\r\n$%d\r\n%s\r\n$60000000\r\n" % (len(pairs), pairs)
+        + b"x" * 900_000,
+        "half a command": message(b"bad")[:40],
+        "many at once": message(b"bad") * 300,
+    }
+    wrong = {
+        "no class": b"d=6000,dest=1",
+        "an unknown class": b"c=none,d=6000,dest=1",
+        "no number": b"c=preview,d=x,dest=1",
+        "an unknown destination": b"c=preview,d=6000,dest=77",
+        "twice": pairs + b",d=1",
+        "no list": b"preview",
+    }
     for kind, words in wrong.items():
         told[kind] = command(b"ENQUEUE", b"0", b"bad", words, b"x")
     told["no id"] = command(b"ENQUEUE", b"0", b"", pairs, b"x")
@@ -312,11 +344,11 @@
         began = time.monotonic()
         with socket.create_connection(("127.0.0.1", program.port), PATIENCE) as sock:
             heard = b""
-            with contextlib.suppress(ConnectionError):   # a close as well
+            with contextlib.suppress(ConnectionError):  # a close as well
                 sock.sendall(kinds[kind])
                 heard = sock.recv(4096)
             took = time.monotonic() - began
-            if heard[:1] not in (b"", b"-") or took > 3.0 + 1.0:   # on a machine with much else to do
+            if heard[:1] not in (b"", b"-") or took > 3.0 + 1.0:  # on a machine with much else to do
                 late.append((kind, heard, took))
 
     threading.Thread(target=serve, daemon=True).start()
--- a/tests/test_races_endpoints.py
+++ b/tests/test_races_endpoints.py
@@ -62,7 +62,7 @@
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(8)
         self.sock.setblocking(False)
-        self.skip = 0.0   # seconds that the calls' clock is ahead: what would take long takes none
+        self.skip = 0.0  # seconds that the calls' clock is ahead: what would take long takes none
         self.table = ServerTable([False], self.clock)
         self.table.update([Server("s1", self.sock.getsockname(), 1)], 1)
         self.wheel = Wheel(0.005, self.clock(), self.clock)
@@ -80,8 +80,9 @@
 
     def call(self, *bodies, limit=9.0):
         """A call and the task that it runs in."""
-        requests = [Request(f"aa{self.made + n:02}", "0", 0, 1, self.clock() + limit, body)
-                    for n, body in enumerate(bodies)]
+        requests = [
+            Request(f"aa{self.made + n:02}", "0", 0, 1, self.clock() + limit, body) for n, body in enumerate(bodies)
+        ]
         self.made += len(bodies)
         call = Call(self.backend, Dispatch("s1", [Item(r.id, 0, limit) for r in requests]), requests)
         return call, self.loop.create_task(call.run())
@@ -130,7 +131,7 @@
         yield made
     made.beat.cancel()
     made.pool.retire("s1")
-    assert not len(made.pool)   # whatever happened, each connection was given back once
+    assert not len(made.pool)  # whatever happened, each connection was given back once
     made.pool.close()
     made.sock.close()
 
@@ -141,6 +142,7 @@
 @pytest.mark.parametrize("what, how", [("cancel", CANCELLED), ("late", TIMED_OUT), ("end of the process", RESET)])
 def test_a_call_given_up_right_after_its_last_byte_may_have_run(what, how):
     """Between the write of the last byte and the turn of the loop in which the call hears of it."""
+
     async def story():
         async with rig(small=True) as r:
             call, run = r.call(b"x" * 2_000_000)
@@ -153,14 +155,19 @@
                 real()
                 if not stream.writing() and not given_up:
                     given_up.append(True)
-                    {"cancel": lambda: call.cancel("aa00"), "late": lambda: call._late("aa00"),
-                     "end of the process": run.cancel}[what]()
+                    {
+                        "cancel": lambda: call.cancel("aa00"),
+                        "late": lambda: call._late("aa00"),
+                        "end of the process": run.cancel,
+                    }[what]()
+
             stream._handle_write = handle_write
-            assert len(await r.request(sock)) > 2_000_000   # the server has the whole of it, and begins
+            assert len(await r.request(sock)) > 2_000_000  # the server has the whole of it, and begins
             with contextlib.suppress(asyncio.CancelledError):
                 await run
             assert given_up and r.desk.ends == [how]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -174,6 +181,7 @@
             await run
             assert r.desk.ends == [NOT_SENT]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -184,9 +192,11 @@
     def spawn(work):
         tasks.add(task := r.loop.create_task(work))
         task.add_done_callback(tasks.discard)
+
     told = ConnectionsSettings(on=True, ahead=0.0)
     r.pool = r.backend.pool = r.backend.kept = KeptPool(
-        told, r.wheel, spawn, lambda server: None, 10, 4.0, 1.5, 1.0, 1.0, tmp_path)
+        told, r.wheel, spawn, lambda server: None, 10, 4.0, 1.5, 1.0, 1.0, tmp_path
+    )
 
 
 ENDS = {"close": lambda sock: sock.close(), "reset": reset, "stray answer": lambda sock: sock.send(OK)}
@@ -196,6 +206,7 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_a_kept_connection_that_ends_or_speaks_between_take_and_write_is_not_written_to(tmp_path, end, keeper):
     """Between the look with which it is taken and the first byte there may be a turn of the loop."""
+
     async def story():
         async with rig() as r:
             if keeper:
@@ -207,23 +218,25 @@
             await run
             if keeper:
                 await r.until(lambda: r.pool._idle)
-                connection, = r.pool._idle
+                (connection,) = r.pool._idle
                 real = r.pool._use
 
-                def use(asked, given):   # the keeper has looked, the call has not gone on yet
+                def use(asked, given):  # the keeper has looked, the call has not gone on yet
                     real(asked, given)
                     if given is connection:
                         ENDS[end](first)
                         select.select([given.stream.socket], [], [], 20)
+
                 r.pool._use = use
             else:
-                (connection,), = r.pool._idle.values()
+                ((connection,),) = r.pool._idle.values()
                 real_pause = r.wheel.pause
 
-                async def pause(seconds):   # it rests after its last answer; the loop wakes the call first
+                async def pause(seconds):  # it rests after its last answer; the loop wakes the call first
                     await real_pause(seconds)
                     ENDS[end](first)
                     select.select([connection.stream.socket], [], [], 20)
+
                 r.wheel.pause = pause
             _, run = r.call(b"y")
             second = await asyncio.wait_for(r.accept(), 20)
@@ -235,6 +248,7 @@
             assert r.desk.ends == [DELIVERED, DELIVERED]
             second.close()
             first.close()
+
     asyncio.run(story())
 
 
@@ -242,6 +256,7 @@
 @pytest.mark.parametrize("what, how", [("dial", NOT_CONNECTED), ("late", NOT_CONNECTED), ("cancel", NOT_SENT)])
 def test_a_dial_that_comes_up_after_its_time_or_as_its_message_ends_carries_nothing(monkeypatch, what, when, how):
     """Its time-out, the end of its message's time, a cancel: told once, as what surely never ran."""
+
     async def story():
         async with rig() as r:
             real = IOStream.connect
@@ -250,14 +265,17 @@
                 dialled = real(stream, address)
                 if when == "as it comes up":
                     await dialled
-                {"dial": stream.close, "late": lambda: call._late("aa00"),
-                 "cancel": lambda: call.cancel("aa00")}[what]()
+                {"dial": stream.close, "late": lambda: call._late("aa00"), "cancel": lambda: call.cancel("aa00")}[
+                    what
+                ]()
                 await dialled
+
             monkeypatch.setattr(IOStream, "connect", connect)
             call, run = r.call(b"x")
             await run
             assert r.desk.ends == [how]
-            assert await r.request(await r.accept()) == b""   # it came up, and went without a byte
+            assert await r.request(await r.accept()) == b""  # it came up, and went without a byte
+
     asyncio.run(story())
 
 
@@ -265,7 +283,7 @@
     async def story():
         async with rig() as r:
             r.sock.listen(0)
-            others = [socket.socket() for _ in range(3)]   # those that nobody accepts leave no room for another
+            others = [socket.socket() for _ in range(3)]  # those that nobody accepts leave no room for another
             for other in others:
                 other.setblocking(False)
                 other.connect_ex(r.sock.getsockname())
@@ -278,6 +296,7 @@
             assert r.desk.ends == [NOT_CONNECTED]
             for other in others:
                 other.close()
+
     asyncio.run(story())
 
 
@@ -296,6 +315,7 @@
             await run
             assert r.desk.ends == [NOT_SENT, DELIVERED]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -317,6 +337,7 @@
             await run
             assert r.desk.ends == [how]
             sock.close()
+
     asyncio.run(story())
 
 
@@ -327,15 +348,21 @@
             _, run = r.call(b"x")
             await run
             assert r.desk.ends == [NOT_CONNECTED]
+
     asyncio.run(story())
 
 
-@pytest.mark.parametrize("told, how, quick", [
-    (b"Connection: close", NOT_CONNECTED, True),     # it has no connection to spare, and says so at once
-    (b"Connection: close\r\nEndpoint-Load-Metrics: x0=0,x1=20", TURNED_AWAY, False),   # this is about the call
-    (b"Connection: close\r\nX-Line-Busy: 1", NOT_SENT, False)])
+@pytest.mark.parametrize(
+    "told, how, quick",
+    [
+        (b"Connection: close", NOT_CONNECTED, True),  # it has no connection to spare, and says so at once
+        (b"Connection: close\r\nEndpoint-Load-Metrics: x0=0,x1=20", TURNED_AWAY, False),  # this is about the call
+        (b"Connection: close\r\nX-Line-Busy: 1", NOT_SENT, False),
+    ],
+)
 def test_a_new_connection_that_came_up_late_and_is_turned_away_was_refused_at_once(monkeypatch, told, how, quick):
     """Danger: with the dial counted in, it would pass for a server that was never reached, and count as a loss."""
+
     async def story():
         async with rig() as r:
             real = IOStream.connect
@@ -343,6 +370,7 @@
             async def connect(stream, address):
                 await real(stream, address)
                 r.skip += 1.2
+
             monkeypatch.setattr(IOStream, "connect", connect)
             _, run = r.call(b"x")
             sock = await r.accept()
@@ -351,4 +379,5 @@
             await run
             assert r.desk.ends == [how] and (r.desk.took[0] < 0.75) is quick
             sock.close()
+
     asyncio.run(story())
--- a/tests/test_races_handover.py
+++ b/tests/test_races_handover.py
@@ -33,7 +33,7 @@
     desk._sender = SimpleNamespace(by_hand=lambda name, since=None: None)
     replace, said = rotations.os.replace, []
 
-    def between(beside, path):   # the other process is called right before the first one's file is in its place
+    def between(beside, path):  # the other process is called right before the first one's file is in its place
         monkeypatch.undo()
         monkeypatch.setattr(rotations.os, "getpid", lambda: 1)
         try:
@@ -41,6 +41,7 @@
         except Refusal as why:
             said.append(why)
         replace(beside, path)
+
     monkeypatch.setattr(rotations.os, "replace", between)
     assert one.take_out("s1")
     for told in (one, other):
@@ -50,13 +51,22 @@
     assert other.take_out("s2") and set(Rotation(tmp_path / "rotation", time.time)) == {"s1", "s2"}
 
 
-@pytest.mark.parametrize("told", ['{"version": 1, "out": {"s1": 1%s}}' % ("0" * 400), '{"version": 1, "out": [1]}',
-                                  "[" * 60_000, "", '{"version": 2}', "\0" * 200],
-                         ids=["huge", "no times", "deep", "empty", "another version", "zeros"])
+@pytest.mark.parametrize(
+    "told",
+    [
+        '{"version": 1, "out": {"s1": 1%s}}' % ("0" * 400),
+        '{"version": 1, "out": [1]}',
+        "[" * 60_000,
+        "",
+        '{"version": 2}',
+        "\0" * 200,
+    ],
+    ids=["huge", "no times", "deep", "empty", "another version", "zeros"],
+)
 def test_a_list_of_what_is_out_that_cannot_be_read_costs_one_line(tmp_path, caplog, told):
     (tmp_path / "rotation").write_text(told)
     out = Rotation(tmp_path / "rotation", time.time)
-    for _ in range(3):   # while two processes live each looks 20 times a second
+    for _ in range(3):  # while two processes live each looks 20 times a second
         out.read()
     assert not len(out) and caplog.text.count("not known") == 1
     assert out.take_out("s1") and "s1" in Rotation(tmp_path / "rotation", time.time)
@@ -73,17 +83,30 @@
 
 HEAD = {"id": "bad", "key": "0", "cls": "preview", "destination": 1, "until": 2e9, "used": 0, "doubt": []}
 SPOILT = {
-    "zeros": bytes(4096), "noise": bytes(range(256)) * 3, "a length of none": struct.pack("<II", 0, 0),
-    "another version": record(b"T", {**HEAD, "shade": 1}), "an unknown kind": record(b"Z", HEAD),
-    "no id": record(b"E", {}), "no object": record(b"N", [1]), "no JSON": record(b"T", b"\xff{"),
-    "deep": record(b"T", b"[" * 60_000), "a short head": struct.pack("<II", 2, zlib.crc32(b"T\0")) + b"T\0",
-    "no name": record(b"T", {**HEAD, "id": 7}), "no time": record(b"T", {**HEAD, "until": "soon"}),
-    "never": record(b"T", {**HEAD, "until": float("nan")}), "for ever": record(b"T", {**HEAD, "until": 10 ** 400}),
-    "no number": record(b"T", {**HEAD, "used": -1}), "tries": record(b"T", {**HEAD, "doubt": ["0"]}),
-    "nowhere": record(b"T", {**HEAD, "destination": 1 << 70}), "no notice": record(b"T", {**HEAD, "notice": 3}),
-    "an odd try": record(b"S", {"id": "aa01", "n": "x"}), "a long try": record(b"S", {"id": "aa01", "n": 1 << 80}),
-    "an odd notice": record(b"O", {"id": "aa01", "notice": {}}), "moved": record(b"M", {"in": "x", "ids": [[]]}),
-    "a try of none": record(b"S", {"id": "aa01"})}
+    "zeros": bytes(4096),
+    "noise": bytes(range(256)) * 3,
+    "a length of none": struct.pack("<II", 0, 0),
+    "another version": record(b"T", {**HEAD, "shade": 1}),
+    "an unknown kind": record(b"Z", HEAD),
+    "no id": record(b"E", {}),
+    "no object": record(b"N", [1]),
+    "no JSON": record(b"T", b"\xff{"),
+    "deep": record(b"T", b"[" * 60_000),
+    "a short head": struct.pack("<II", 2, zlib.crc32(b"T\0")) + b"T\0",
+    "no name": record(b"T", {**HEAD, "id": 7}),
+    "no time": record(b"T", {**HEAD, "until": "soon"}),
+    "never": record(b"T", {**HEAD, "until": float("nan")}),
+    "for ever": record(b"T", {**HEAD, "until": 10**400}),
+    "no number": record(b"T", {**HEAD, "used": -1}),
+    "tries": record(b"T", {**HEAD, "doubt": ["0"]}),
+    "nowhere": record(b"T", {**HEAD, "destination": 1 << 70}),
+    "no notice": record(b"T", {**HEAD, "notice": 3}),
+    "an odd try": record(b"S", {"id": "aa01", "n": "x"}),
+    "a long try": record(b"S", {"id": "aa01", "n": 1 << 80}),
+    "an odd notice": record(b"O", {"id": "aa01", "notice": {}}),
+    "moved": record(b"M", {"in": "x", "ids": [[]]}),
+    "a try of none": record(b"S", {"id": "aa01"}),
+}
 
 
 @pytest.mark.parametrize("spoilt", SPOILT.values(), ids=SPOILT)
@@ -110,8 +133,8 @@
         journal.take(message(f"aa0{n}", body=b"x" * 40))
     journal.close()
     data = (tmp_path / "journal").read_bytes()
-    for at in range(len(data) // 3 + 4, 2 * len(data) // 3):   # beyond its length: one too long looks torn
-        (tmp_path / "journal").write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1:])
+    for at in range(len(data) // 3 + 4, 2 * len(data) // 3):  # beyond its length: one too long looks torn
+        (tmp_path / "journal").write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
         after = Journal(tmp_path, 3_000_000)
         assert set(after.kept) == {"aa00", "aa02"}, at
         after.close()
@@ -154,7 +177,7 @@
     journal.end("aa01")
     assert journal.take(message("aa01"))
     journal.close()
-    with open(tmp_path / "journal", "ab") as file:   # an earlier version wrote so
+    with open(tmp_path / "journal", "ab") as file:  # an earlier version wrote so
         file.write(record(b"T", {**HEAD, "id": "aa01"}, b"x" * 30_000) * 3)
     after = Journal(tmp_path, 100_000)
     assert set(after.kept) == {"aa01"} and after.take(message("aa02", body=b"x" * 2000))
@@ -178,10 +201,11 @@
         def tried(*arguments, **more):
             if self.left <= 0 and not (name == "open" and not arguments[1] & os.O_CREAT):
                 if name == "write" and self.half:
-                    os.write(arguments[0], arguments[1][:len(arguments[1]) // 2])
+                    os.write(arguments[0], arguments[1][: len(arguments[1]) // 2])
                 raise OSError(errno.EROFS, "Read-only file system")
             self.left -= 1
             return getattr(os, name)(*arguments, **more)
+
         return tried
 
 
@@ -204,7 +228,7 @@
     journal.adopt([message("cc01")])
     journal.hand_over(sorted(taken)[:1], folder / "handed.1.1", folder / "journal.2")
     monkeypatch.undo()
-    assert all(kept.notice for kept in journal.kept.values() if kept.id in taken)   # a rewrite puts it on record
+    assert all(kept.notice for kept in journal.kept.values() if kept.id in taken)  # a rewrite puts it on record
     assert journal.take(message("bb01")) and journal.sent("bb01", 3)
     journal.close()
     after = {**journals.owed(folder / "journal"), **journals.owed(folder / "journal.2")}
@@ -265,6 +289,7 @@
 
     def full(*arguments):
         raise OSError(28, "No space left on device")
+
     monkeypatch.setattr(journals, "os", SimpleNamespace(**{**vars(journals.os), "write": full}))
     new.look()
     assert not taken and set(owed(tmp_path / "journal.1")) == {"a"} and not new.journal.kept
@@ -274,9 +299,18 @@
     new.close()
 
 
-@pytest.mark.parametrize("told", ['[["s1", "20", 0.5, null, "x"]]', '[["s1", [], 0.5, null, null]]', "[" * 60_000,
-                                  '[["s1", 20.0, 0.5, null]]', '[["s1", 1%s, 0.5, null, null]]' % ("0" * 400), "7"],
-                         ids=["a word", "a list", "deep", "short", "huge", "no rows"])
+@pytest.mark.parametrize(
+    "told",
+    [
+        '[["s1", "20", 0.5, null, "x"]]',
+        '[["s1", [], 0.5, null, null]]',
+        "[" * 60_000,
+        '[["s1", 20.0, 0.5, null]]',
+        '[["s1", 1%s, 0.5, null, null]]' % ("0" * 400),
+        "7",
+    ],
+    ids=["a word", "a list", "deep", "short", "huge", "no rows"],
+)
 def test_what_an_older_process_has_learned_in_another_shape_is_passed_over(tmp_path, caplog, told):
     old, new = shift(tmp_path), shift(tmp_path)
     alone(new)
@@ -292,14 +326,19 @@
 # --- Signals between the steps.
 
 
-@pytest.mark.parametrize("steps", [
-    "old hup_old start_new hup_old hup_new term_old hup_old hup_new wait_old",
-    "old start_new term_old term_old wait_old",
-    "old start_new term_old term_new wait_old wait_new start_next",
-    "old start_new term_new wait_new term_old wait_old start_next",
-    "old start_new term_old kill_new kill_old start_next",
-    "old start_new term_new kill_old wait_new start_next",
-    "old start_new stop_old start_next kill_old", "old start_new stop_new term_old wait_old kill_new start_next"])
+@pytest.mark.parametrize(
+    "steps",
+    [
+        "old hup_old start_new hup_old hup_new term_old hup_old hup_new wait_old",
+        "old start_new term_old term_old wait_old",
+        "old start_new term_old term_new wait_old wait_new start_next",
+        "old start_new term_new wait_new term_old wait_old start_next",
+        "old start_new term_old kill_new kill_old start_next",
+        "old start_new term_new kill_old wait_new start_next",
+        "old start_new stop_old start_next kill_old",
+        "old start_new stop_new term_old wait_old kill_new start_next",
+    ],
+)
 def test_signals_between_the_steps_of_an_upgrade_end_each_message_once(pair, steps):
     """Messages of both classes, in a call that never ends, in one that does, and held; `stop` lets one hang."""
     slow, sound, away = Backend("s1", destination=1), Backend("s2", destination=2), Backend("s3", destination=3)
@@ -316,7 +355,7 @@
                     asked[name] = cls, destination
                     if "stop" not in steps:
                         assert both.client().enqueue(name, cls=cls, dest=destination, d=4000) == "+OK"
-                    elif programs.keys() == {"old"}:   # later ones may fall to the one that hangs
+                    elif programs.keys() == {"old"}:  # later ones may fall to the one that hangs
                         assert both.client().enqueue(name, cls=cls, dest=destination, d=4000) == "+OK"
                     else:
                         del asked[name]
--- a/tests/test_races_lists.py
+++ b/tests/test_races_lists.py
@@ -18,12 +18,21 @@
 PATIENCE = 10.0
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TICK = 0.05
-MOST_LINE = 60.0   # seconds for which the rows of one line keep a watch
+MOST_LINE = 60.0  # seconds for which the rows of one line keep a watch
 
 
 def row(name, **more):
-    return {"host": name, "dial": "10.0.0.1:6379", "site": "a", "class": "x", "block": 1, "health": "ready",
-            "share": 1.0, "born_ms": 0, **more}
+    return {
+        "host": name,
+        "dial": "10.0.0.1:6379",
+        "site": "a",
+        "class": "x",
+        "block": 1,
+        "health": "ready",
+        "share": 1.0,
+        "born_ms": 0,
+        **more,
+    }
 
 
 def line(rows, seq, whole=False, indent=None):
@@ -63,6 +72,7 @@
         def counted(parser, data):
             self.read += len(data)
             return feed(parser, data)
+
         patch.setattr(http.AnswerParser, "feed", counted)
 
     def changed(self, servers, version):
@@ -77,8 +87,9 @@
     @contextlib.asynccontextmanager
     async def open(self):
         self.agent, self.other = await Agent().open(), await Agent().open()
-        self.watch = Watch(self.agent.dial, self.wheel, self.asking, ["a"], ["x"], lambda: self.table.version, self,
-                           1 << 20)
+        self.watch = Watch(
+            self.agent.dial, self.wheel, self.asking, ["a"], ["x"], lambda: self.table.version, self, 1 << 20
+        )
         running = asyncio.get_running_loop().create_task(self.watch.run())
         await self.passed(0.01)
         try:
@@ -129,8 +140,16 @@
 
 
 CHANGE = line([row("s1"), row("s2")], 8)
-SAID = [b"HTTP/1.1 2", HEAD, HEAD + b"3", HEAD + chunk(b"\n"), HEAD + chunk(CHANGE[:9]), HEAD + chunk(CHANGE[:150]),
-        HEAD + chunk(CHANGE)[:-3], HEAD + chunk(CHANGE)]
+SAID = [
+    b"HTTP/1.1 2",
+    HEAD,
+    HEAD + b"3",
+    HEAD + chunk(b"\n"),
+    HEAD + chunk(CHANGE[:9]),
+    HEAD + chunk(CHANGE[:150]),
+    HEAD + chunk(CHANGE)[:-3],
+    HEAD + chunk(CHANGE),
+]
 
 
 @pytest.mark.parametrize("said", [b"", *SAID])
@@ -146,14 +165,23 @@
             assert f"from={8 if whole else 7} " in await one.again()
             await one.say(HEAD + chunk(line([row("s9")], 9, whole=True)))
             assert one.ready() == ["s9"] and one.table.version == 9
+
     play(story())
 
 
-@pytest.mark.parametrize("before, each", [
-    (b"HTTP/1.1 200 OK\r\nX: ", b"x"), (HEAD, chunk(b" ")), (HEAD + b"1;", b"x"),
-    (HEAD + chunk(CHANGE[:150]), chunk(b" ")), (HEAD + chunk(b'{"seq":8,"x":"'), chunk(b"x")),
-    (HEAD + chunk(b'{"hosts":[{},'), chunk(b"\n")),
-    (HEAD + chunk(b'{"hosts":[{"x":"'), chunk(b"x")), (HEAD + chunk(b'{"hosts":[]'), chunk(b" "))])
+@pytest.mark.parametrize(
+    "before, each",
+    [
+        (b"HTTP/1.1 200 OK\r\nX: ", b"x"),
+        (HEAD, chunk(b" ")),
+        (HEAD + b"1;", b"x"),
+        (HEAD + chunk(CHANGE[:150]), chunk(b" ")),
+        (HEAD + chunk(b'{"seq":8,"x":"'), chunk(b"x")),
+        (HEAD + chunk(b'{"hosts":[{},'), chunk(b"\n")),
+        (HEAD + chunk(b'{"hosts":[{"x":"'), chunk(b"x")),
+        (HEAD + chunk(b'{"hosts":[]'), chunk(b" ")),
+    ],
+)
 def test_bytes_that_never_make_a_line_do_not_keep_a_watch(monkeypatch, before, each):
     async def story():
         one = Story(monkeypatch)
@@ -167,6 +195,7 @@
             await one.passed(0.4)
             assert one.watch._stream.closed()
             assert "from=7 " in await one.again()
+
     play(story())
 
 
@@ -181,8 +210,9 @@
                 await one.say(chunk(b"\r\n" if n % 2 else b"\n"))
             await one.say(chunk(CHANGE))
             assert one.ready() == ["s1", "s2"] and one.agent.opened.empty()
-            await one.say(b"0\r\n\r\n")   # it ends cleanly
+            await one.say(b"0\r\n\r\n")  # it ends cleanly
             assert "from=8 " in await one.again()
+
     play(story())
 
 
@@ -194,9 +224,9 @@
             await one.agent.asked()
             await one.say(HEAD)
             data = line([row(name) for name in names], 8, whole=True)
-            for at in range(0, len(data), 120):   # a little more than half a row
+            for at in range(0, len(data), 120):  # a little more than half a row
                 await one.passed(1.2)
-                await one.say(chunk(data[at:at + 120]))
+                await one.say(chunk(data[at : at + 120]))
             assert one.ready() == names
             await one.say(chunk(b'{"seq":9,"whole":true,"hosts":['))
             spent = 0.0
@@ -207,12 +237,14 @@
                 assert spent < MOST_LINE + 5.0
             assert spent > MOST_LINE - 1.0
             assert "from=8 " in await one.agent.asked() and one.ready() == names
+
     play(story())
 
 
 @pytest.mark.parametrize("said", [None, b"", *SAID])
 def test_sighup_at_any_point_moves_the_watch_at_once_from_what_is_known(monkeypatch, said):
     """None: while it rests between two asks; empty: connected, and nothing has come."""
+
     async def story():
         one = Story(monkeypatch)
         async with one.open():
@@ -224,23 +256,26 @@
             elif said:
                 await one.say(said)
             one.watch.move(one.other.dial)
-            await one.passed(0.01)   # a tick, and no pause
+            await one.passed(0.01)  # a tick, and no pause
             assert f"from={8 if said and b']}' in said else 7} " in await one.other.asked()
             await one.say(HEAD + chunk(line([row("s9")], 9, whole=True, indent=2)), one.other)
             assert one.ready() == ["s9"] and one.agent.opened.empty()
+
     play(story())
 
 
 def test_an_address_that_moves_as_a_rest_rings_cuts_no_later_rest_short(monkeypatch):
     async def story():
-        one = Story(monkeypatch, SimpleNamespace(first=lambda: 0.0, patience=lambda: SILENCE, moved=lambda: 1.0,
-                                                 again=lambda served: 5.0))
+        one = Story(
+            monkeypatch,
+            SimpleNamespace(first=lambda: 0.0, patience=lambda: SILENCE, moved=lambda: 1.0, again=lambda served: 5.0),
+        )
         async with one.open():
             await one.agent.asked()
             await one.say(b"HTTP/1.1 503 Told\r\nContent-Length: 0\r\n\r\n")
             await one.passed(5.0 - TICK)
             one.now += 2 * TICK
-            one.wheel.advance(one.now)      # it rings, and before the watch wakes up
+            one.wheel.advance(one.now)  # it rings, and before the watch wakes up
             one.watch.move(one.other.dial)  # the signal comes
             await one.turns()
             await one.other.asked()
@@ -250,6 +285,7 @@
             assert one.other.opened.empty()
             await one.passed(1.0)
             await one.other.asked()
+
     play(story())
 
 
@@ -263,17 +299,19 @@
             await one.say(chunk(line([row("b", health="draining")], 12)))
             assert one.ready() == ["c"] and one.table.version == 12
             older = chunk(line([row("b"), row("c")], 11, whole=True))
-            await one.say(older)   # than what this watch has told, not than what it began from
+            await one.say(older)  # than what this watch has told, not than what it began from
             assert one.ready() == ["c"] and "from=12 " in await one.again()
             await one.say(HEAD + older)
             assert one.ready() == ["b", "c"] and one.table.version == 11
         assert sum("LD-DISCOVERY-OLD" in r.message for r in caplog.records) == 1
+
     play(story())
 
 
 @pytest.mark.parametrize("down", [True, False])
 def test_discovery_that_is_down_is_asked_at_an_even_pace_and_its_news_taken_when_it_is_back(monkeypatch, down):
     """Down it takes the connection and stays silent; else it turns the ask away."""
+
     async def story():
         one = Story(monkeypatch)
         async with one.open():
@@ -283,12 +321,13 @@
                 if not down:
                     await one.say(b"HTTP/1.1 503 Told\r\nContent-Length: 0\r\n\r\n")
                 await one.passed((PROMPT if down else 0.0) + AGENT - 2 * TICK)
-                assert one.agent.opened.empty()   # no sooner
+                assert one.agent.opened.empty()  # no sooner
                 await one.passed(4 * TICK)
             assert one.now - began < 12 * (PROMPT + AGENT + 3 * TICK)
             await one.agent.asked()
             await one.say(HEAD + chunk(CHANGE))
             assert one.ready() == ["s1", "s2"]
+
     play(story())
 
 
@@ -305,11 +344,25 @@
 GOOD = line([row("s1", health="draining"), row("s3")], 8)
 
 
-@pytest.mark.parametrize("bad", [
-    b"no list\n", b"\xff\n", b"[1]\n", b'{"seq":9}\n', b'{"hosts":[{},}\n', b'{"seq":null,"hosts":[]}\n',
-    b'{"seq":9,"whole":"false","hosts":[]}\n', b'{"seq":9,"hosts":[],"whole":1}\n', b'{"whole":0,"hosts":[]}\n',
-    b'{"seq":9,"whole":true,"hosts":[],"whole":false}\n', b'{"hosts":[{"block":' + b"9" * 5000 + b"}]}\n",
-    b'{"seq":' + b"9" * 5000 + b',"hosts":[]}\n', b'{"hosts":[' + b"[" * 9000, b'{"seq":8,"hosts":[]}]\n'])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"no list\n",
+        b"\xff\n",
+        b"[1]\n",
+        b'{"seq":9}\n',
+        b'{"hosts":[{},}\n',
+        b'{"seq":null,"hosts":[]}\n',
+        b'{"seq":9,"whole":"false","hosts":[]}\n',
+        b'{"seq":9,"hosts":[],"whole":1}\n',
+        b'{"whole":0,"hosts":[]}\n',
+        b'{"seq":9,"whole":true,"hosts":[],"whole":false}\n',
+        b'{"hosts":[{"block":' + b"9" * 5000 + b"}]}\n",
+        b'{"seq":' + b"9" * 5000 + b',"hosts":[]}\n',
+        b'{"hosts":[' + b"[" * 9000,
+        b'{"seq":8,"hosts":[]}]\n',
+    ],
+)
 def test_bytes_that_are_no_list_are_named_and_take_nothing_with_them(monkeypatch, caplog, bad):
     async def story():
         caplog.set_level("INFO")
@@ -317,20 +370,39 @@
         async with one.open():
             await one.agent.asked()
             await one.say(HEAD + chunk(line([row("s1"), row("s2")], 7, whole=True)))
-            await one.say(chunk(GOOD + bad))   # in one piece
+            await one.say(chunk(GOOD + bad))  # in one piece
             assert one.ready() == ["s2", "s3"]
             assert f"from={one.table.version} " in await one.again() and one.table.version == 8
             await one.say(HEAD + chunk(line([row("s4")], 9)))
             assert one.ready() == ["s2", "s3", "s4"]
         assert sum("LD-DISCOVERY-LIST: " in r.message for r in caplog.records) == 1
         assert not any(r.exc_info for r in caplog.records)
+
     play(story())
 
 
-@pytest.mark.parametrize("more", [
-    {"host": "\ud800"}, {"host": ""}, {"dial": "\ud800:80"}, {"dial": "a\0b:80"}, {"dial": ":80"}, {"dial": "ж:80"},
-    {"dial": 7}, {"dial": "10.0.0.1"}, {"block": 1.5}, {"block": float("nan")}, {"block": None}, {"health": "well"},
-    {"share": float("nan")}, {"share": 1e300}, {"born_ms": float("inf")}, {"share": None}, {"share": 10 ** 400}])
+@pytest.mark.parametrize(
+    "more",
+    [
+        {"host": "\ud800"},
+        {"host": ""},
+        {"dial": "\ud800:80"},
+        {"dial": "a\0b:80"},
+        {"dial": ":80"},
+        {"dial": "ж:80"},
+        {"dial": 7},
+        {"dial": "10.0.0.1"},
+        {"block": 1.5},
+        {"block": float("nan")},
+        {"block": None},
+        {"health": "well"},
+        {"share": float("nan")},
+        {"share": 1e300},
+        {"born_ms": float("inf")},
+        {"share": None},
+        {"share": 10**400},
+    ],
+)
 @pytest.mark.parametrize("whole", [True, False])
 def test_an_entry_that_cannot_be_read_takes_no_other_with_it(monkeypatch, caplog, more, whole):
     async def story():
@@ -340,9 +412,10 @@
             rows = [row("s1", health="draining"), row("bad", **more), row("s2")]
             await one.say(HEAD + chunk(line(rows, 8, whole)))
             assert one.ready() == ["s2"] and one.table.version == 8 and one.table.row("s1").health == "draining"
-            await one.say(chunk(line([row("s3")], 9)))   # on the same watch
+            await one.say(chunk(line([row("s3")], 9)))  # on the same watch
             assert one.ready() == ["s2", "s3"] and one.agent.opened.empty()
         assert sum("LD-DISCOVERY-ROW: " in r.message for r in caplog.records) == 1
+
     play(story())
 
 
@@ -355,6 +428,7 @@
                 await one.say(head + chunk(line([row(f"s{n}", health="well") for n in range(500)], seq)))
                 assert one.table.version == seq
                 assert len([r for r in caplog.records if "passed over" in r.message]) <= 21 * (seq - 7)
+
     play(story())
 
 
@@ -372,6 +446,7 @@
             assert [(s.name, s.dial) for s in one.table.roster.of(1)] == [("c", ("10.0.0.2", 1))]
             await one.say(chunk(line([row("c", health="gone"), row("c", block=4, dial="10.0.0.4:2")], 10)))
             assert one.table.row("c").dial == ("10.0.0.4", 2) and len(one.table.roster) == 2 and one.table.knows(1)
+
     play(story())
 
 
--- a/tests/test_races_notices.py
+++ b/tests/test_races_notices.py
@@ -13,7 +13,7 @@
 
 PATIENCE = 10.0
 TICK = 0.005
-HEARD = 0.3   # seconds after a message's time within which its end must be heard
+HEARD = 0.3  # seconds after a message's time within which its end must be heard
 TOLD = b"HTTP/1.1 204 Told\r\n\r\n"
 BAD = b"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n"
 
@@ -110,29 +110,34 @@
 def answers(how):
     """What goes wrong with one post."""
     return {
-        "lost": lambda post: None, "closed": lambda post: post.end(), "reset": lambda post: post.end(reset=True),
-        "half": lambda post: (post.answer(TOLD[:9]), post.end()), "silent in half": lambda post: post.answer(TOLD[:-2]),
+        "lost": lambda post: None,
+        "closed": lambda post: post.end(),
+        "reset": lambda post: post.end(reset=True),
+        "half": lambda post: (post.answer(TOLD[:9]), post.end()),
+        "silent in half": lambda post: post.answer(TOLD[:-2]),
         "half, reset": lambda post: (post.answer(TOLD[:-2]), post.end(reset=True)),
         "noise": lambda post: post.answer(b"?"),
         "busy": lambda post: post.answer(b"HTTP/1.1 503 Told\r\nContent-Length: 0\r\n\r\n"),
-        "a stray 400": lambda post: post.answer(BAD)}[how]
+        "a stray 400": lambda post: post.answer(BAD),
+    }[how]
 
 
-@pytest.mark.parametrize("how", ["lost", "closed", "reset", "half", "silent in half", "half, reset", "noise", "busy",
-                                 "a stray 400"])
+@pytest.mark.parametrize(
+    "how", ["lost", "closed", "reset", "half", "silent in half", "half, reset", "noise", "busy", "a stray 400"]
+)
 @pytest.mark.parametrize("fresh", [True, False])
 def test_a_post_that_goes_wrong_is_made_again_in_time_and_confirmed_once(how, fresh):
     async def story():
         one = Story()
         async with one.open():
-            if not fresh:   # over a connection that is kept
+            if not fresh:  # over a connection that is kept
                 one.owe("a0")
                 (await one.heard()).answer()
                 await one.confirmed("a0")
                 one.ended.clear()
             one.owe("a1", "a2")
             answers(how)(await one.heard())
-            one.owe("a3")   # comes in while that post is out
+            one.owe("a3")  # comes in while that post is out
             seen = set()
             while seen != {"a1", "a2", "a3"}:
                 post = await one.heard()
@@ -141,6 +146,7 @@
             await one.confirmed("a1", "a2", "a3")
             await one.turns()
             assert one.platform.posts.empty()
+
     play(story())
 
 
@@ -166,6 +172,7 @@
             assert last.writer is not post.writer
             last.answer(TOLD)
             await one.confirmed("a1", "a2", "a3")
+
     play(story())
 
 
@@ -177,7 +184,7 @@
             post = await one.heard()
             post.answer()
             await one.confirmed("a1")
-            post.answer()   # while nothing is owed
+            post.answer()  # while nothing is owed
             await one.turns()
             one.owe("a2")
             post = await one.heard()
@@ -185,6 +192,7 @@
             assert one.ended == ["a1"] and len(one.notices) == 1
             post.answer()
             await one.confirmed("a1", "a2")
+
     play(story())
 
 
@@ -200,9 +208,10 @@
                 post.answer()
                 await one.confirmed(*(f"a{m}" for m in range(n + 1)))
                 if not n:
-                    post.end()   # while nothing is owed
-            (await one.heard()).answer()   # the third had no reply
+                    post.end()  # while nothing is owed
+            (await one.heard()).answer()  # the third had no reply
             await one.confirmed("a0", "a1", "a2")
+
     play(story())
 
 
@@ -223,13 +232,14 @@
                 post.answer()
                 await one.confirmed("a1", "a2")
             one.notices.move(one.other.dial)
-            one.platform.server.close()   # and takes nobody any more
+            one.platform.server.close()  # and takes nobody any more
             one.owe("a3")
             last = await one.heard(0.1, one.other)
             assert last.ids == (["a3"] if when == "nothing is owed" else ["a1", "a2", "a3"])
             last.answer()
             await one.confirmed("a1", "a2", "a3")
             assert one.platform.posts.empty()
+
     play(story())
 
 
@@ -248,6 +258,7 @@
                 post.answer()
             assert heard == ids and posts <= 7
             await one.confirmed(*ids)
+
     play(story())
 
 
@@ -260,13 +271,14 @@
             for _ in range(12):
                 answers(how)(await one.heard(1.5))
                 await asyncio.sleep(0.005)
-            one.owe("a2")   # the last post has just failed, or is out for ever; from now on the platform answers
+            one.owe("a2")  # the last post has just failed, or is out for ever; from now on the platform answers
             post = await one.heard()
             if post.ids == ["a1"]:
                 post.answer()
                 post = await one.heard(4 * TICK)
             post.answer()
             await one.confirmed("a1", "a2")
+
     play(story())
 
 
@@ -282,7 +294,7 @@
                 posts += 1
                 post.answer(BAD if ids[bad] in post.ids else TOLD)
             assert posts < 40 and one.now - began < HEARD and sorted(one.ended) == sorted(ids)
-            one.owe(*(f"b{n}" for n in range(64)))   # nor does it slow what comes then
+            one.owe(*(f"b{n}" for n in range(64)))  # nor does it slow what comes then
             posts = 0
             while (post := await one.heard()) is not None:
                 posts += 1
@@ -290,5 +302,7 @@
             assert posts < 8
         text = json.dumps({"id": ids[bad], "status": "undeliverable"}, separators=(",", ":")) + "\n"
         assert [r.message for r in caplog.records if "cannot read" in r.message] == [
-            f"notices: the platform cannot read {text.encode()!r}"]
+            f"notices: the platform cannot read {text.encode()!r}"
+        ]
+
     play(story())
--- a/tests/test_races_order.py
+++ b/tests/test_races_order.py
@@ -19,8 +19,14 @@
 
 
 @pytest.mark.parametrize("cls", ["preview", "order"])
-@pytest.mark.parametrize("told", [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-                                  b"HTTP/1.1 200 OK\r\nno header\r\n\r\n"])
+@pytest.mark.parametrize(
+    "told",
+    [
+        b"HTTP/1.1 200 OK\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+        b"HTTP/1.1 200 OK\r\nno header\r\n\r\n",
+    ],
+)
 def test_an_answer_that_stops_short_keeps_the_next_of_its_key_until_its_connection_is_closed(start, cls, told):
     server = Backend("s1")
     program = start([server], grades=ORDERED)
@@ -32,7 +38,7 @@
     second, (_, headers, _) = server.take()
     assert headers["x-trace-id"] == "aa02" and over(first)
     second.answer(200)
-    assert program.discovery.notices.empty()   # the first was delivered by its first line
+    assert program.discovery.notices.empty()  # the first was delivered by its first line
 
 
 def test_a_whole_answer_lets_the_next_of_its_key_go_over_the_same_connection(start):
--- a/tests/test_races_repeats.py
+++ b/tests/test_races_repeats.py
@@ -32,7 +32,7 @@
         while not (found := [attempt for request, attempt in self.sender._calls if request == name]):
             self.now += 0.05
             self.sender.beat()
-        attempt, = found
+        (attempt,) = found
         item = Item(name, attempt, 6.0)
         assert self.sender.may_go("s1", item)
         return item
@@ -49,6 +49,7 @@
     def make(effect=Effect.UNSAFE):
         made.append(Two(tmp_path, effect))
         return made[-1]
+
     yield make
     for one in made:
         one.close()
@@ -82,10 +83,10 @@
     d = desk()
     first = d.ask()
     with pytest.raises(Refused):
-        d.ask()   # the first is not answered yet
+        d.ask()  # the first is not answered yet
     d.sender.beat()
     assert first == [Taken()] and len(d.calls) == 1
-    assert d.ask() == [Taken(known=True)]   # and from now on it is owed, once
+    assert d.ask() == [Taken(known=True)]  # and from now on it is owed, once
     d.sender.beat()
     assert len(d.calls) == 1
 
@@ -126,13 +127,13 @@
     d.sender.beat()
     d.sender.ended("s1", d.out(), TIMED_OUT, 0.1)
     d.sender.beat()
-    while len(d.calls) < 2:   # the repeat is on its way, and dials
+    while len(d.calls) < 2:  # the repeat is on its way, and dials
         d.now += 0.01
         d.sender.beat()
     repeat = Item("aa01", 1, 5.0)
     assert not written or d.sender.may_go("s1", repeat)
     d.sender.delivered_late("aa01", d.now + 5.0)
-    assert not d.sender.may_go("s1", repeat)   # from now on it is over
+    assert not d.sender.may_go("s1", repeat)  # from now on it is over
     d.sender.beat()
     d.sender.ended("s1", repeat, DELIVERED if written else NOT_SENT, 0.2)
     d.sender.beat()
@@ -158,7 +159,7 @@
     d.ask()
     d.sender.beat()
     item = d.out()
-    if how != TIMED_OUT:   # else the life ends while it is out
+    if how != TIMED_OUT:  # else the life ends while it is out
         d.sender.ended("s1", item, how, 0.1)
     d.sender._b.journal.close()
     d = desk(effect)
--- a/tests/test_races_restart.py
+++ b/tests/test_races_restart.py
@@ -16,8 +16,9 @@
 
 
 def message(name, **more):
-    return Kept(**{"id": name, "key": "0" * 16, "cls": "preview", "destination": 1, "until": 2e9,
-                   "body": name.encode(), **more})
+    return Kept(
+        **{"id": name, "key": "0" * 16, "cls": "preview", "destination": 1, "until": 2e9, "body": name.encode(), **more}
+    )
 
 
 def left_behind(program, *messages):
@@ -64,7 +65,7 @@
     assert program.client().enqueue("aa01", d=30_000) == "+OK"
     line, _ = server.take()
     line.answer(500, Connection="close")
-    server.take()   # the last one is out when the life ends
+    server.take()  # the last one is out when the life ends
     program.kill()
     program.start()
     assert program.discovery.notice() == {"id": "aa01", "status": "undeliverable"}
@@ -88,17 +89,26 @@
 def test_a_class_that_is_gone_ends_its_messages_with_a_line_and_nothing_else(start):
     server = Backend("s1")
     program = ended(start, [server], admin="127.0.0.1:0")
-    left_behind(program, message("aa01", cls="gone"), message("aa02", cls="gone", doubt={0}, used=1),
-                message("aa03", until=time.time() + 6))
+    left_behind(
+        program,
+        message("aa01", cls="gone"),
+        message("aa02", cls="gone", doubt={0}, used=1),
+        message("aa03", until=time.time() + 6),
+    )
     program.start()
     assert {program.discovery.notice()["id"] for _ in range(2)} == {"aa01", "aa02"}
     assert served(server, 1) == ["aa03"]
     assert any("gone" in line and "aa01" in line for line in program.log)
 
 
-@pytest.mark.parametrize("before, after, again", [
-    ("read_like", "non_idempotent", False), ("non_idempotent", "read_like", True),
-    ("read_like", "idempotency_key", False)])
+@pytest.mark.parametrize(
+    "before, after, again",
+    [
+        ("read_like", "non_idempotent", False),
+        ("non_idempotent", "read_like", True),
+        ("read_like", "idempotency_key", False),
+    ],
+)
 def test_a_class_with_another_effect_goes_by_the_new_one(start, before, after, again):
     server = Backend("s1")
     program = start([server], grades=[{**UNHURRIED[0], "idempotency": before}, CLASSES[1]])
@@ -116,8 +126,11 @@
 
 def test_a_clock_that_was_set_back_holds_nothing_for_longer_than_it_may_last(start):
     server = Backend("s1", destination=2)
-    program = ended(start, [server], grades=[{**CLASSES[0], "hard-limit": 0.5, "aim": 0.2},
-                                             {**CLASSES[1], "hard-limit": 0.5, "aim": 0.2}])
+    program = ended(
+        start,
+        [server],
+        grades=[{**CLASSES[0], "hard-limit": 0.5, "aim": 0.2}, {**CLASSES[1], "hard-limit": 0.5, "aim": 0.2}],
+    )
     left_behind(program, message("aa01", until=time.time() + 3600))
     began = time.monotonic()
     program.start()
@@ -130,12 +143,16 @@
 def test_what_waits_for_a_list_is_tried_once_there_is_one(start):
     server = Backend("s1")
     program = ended(start, [], known={}, news="subscribe")
-    left_behind(program, message("aa01", until=time.time() + 6), message("aa02", cls="order", until=time.time() + 6),
-                message("aa03", cls="order", until=time.time() + 6, doubt={0}, used=1))
+    left_behind(
+        program,
+        message("aa01", until=time.time() + 6),
+        message("aa02", cls="order", until=time.time() + 6),
+        message("aa03", cls="order", until=time.time() + 6, doubt={0}, used=1),
+    )
     program.start()
-    assert program.discovery.notice() == {"id": "aa03", "status": "undeliverable"}   # at once, without a list
+    assert program.discovery.notice() == {"id": "aa03", "status": "undeliverable"}  # at once, without a list
     _, tell = program.discovery.watch(lively=True)
-    tell(8, [], whole=True)   # nothing is listed yet
+    tell(8, [], whole=True)  # nothing is listed yet
     settled(program.client())
     tell(9, [server.row()])
     assert served(server, 2) == ["aa01", "aa02"] and program.discovery.notices.empty()
@@ -161,8 +178,11 @@
     server = Backend("s1")
     program = ended(start, [server], limits__max_open=200)
     begun = time.time()
-    left_behind(program, *(message(f"aa{n:02}", until=begun + n / 4, cls=("preview", "order")[n % 2])
-                           for n in range(24)), message("bb01", until=begun - 3600))
+    left_behind(
+        program,
+        *(message(f"aa{n:02}", until=begun + n / 4, cls=("preview", "order")[n % 2]) for n in range(24)),
+        message("bb01", until=begun - 3600),
+    )
     served_by = Serving(server)
     program.start()
     ready = time.time()
@@ -190,21 +210,32 @@
 """
 
 
-@pytest.mark.parametrize("signals, code", [
-    ("SIGTERM,", -15), (",SIGTERM", -15), ("SIGHUP,SIGTERM SIGTERM", -15), ("SIGHUP SIGHUP,SIGHUP", None),
-    ("SIGKILL,", -9), (",SIGKILL", -9)])
+@pytest.mark.parametrize(
+    "signals, code",
+    [
+        ("SIGTERM,", -15),
+        (",SIGTERM", -15),
+        ("SIGHUP,SIGTERM SIGTERM", -15),
+        ("SIGHUP SIGHUP,SIGHUP", None),
+        ("SIGKILL,", -9),
+        (",SIGKILL", -9),
+    ],
+)
 def test_signals_in_the_middle_of_a_start_lose_nothing(start, tmp_path, monkeypatch, signals, code):
     server = Backend("s1")
     program = ended(start, [server], grades=UNHURRIED)
-    left_behind(program, message("aa01", until=time.time() + 30),
-                message("aa02", cls="order", until=time.time() + 16, doubt={0}, used=1))
+    left_behind(
+        program,
+        message("aa01", until=time.time() + 30),
+        message("aa02", cls="order", until=time.time() + 16, doubt={0}, used=1),
+    )
     (tmp_path / "sitecustomize.py").write_text(STARTS)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
     monkeypatch.setenv("SIGNALS", signals)
     if code is None:
-        program.start()   # SIGHUP before there is anything to reload
+        program.start()  # SIGHUP before there is anything to reload
     else:
-        with pytest.raises(AssertionError):   # it never listens
+        with pytest.raises(AssertionError):  # it never listens
             program.start()
         assert program.wait() == code
         monkeypatch.delenv("SIGNALS")
@@ -255,9 +286,11 @@
 """
 
 
-@pytest.mark.parametrize("cls, script, steps", [
-    ("order", (503, 200), 8), ("order", (500,), 7), ("preview", (500, 200), 7)],
-    ids=["never ran", "notice", "repeated"])
+@pytest.mark.parametrize(
+    "cls, script, steps",
+    [("order", (503, 200), 8), ("order", (500,), 7), ("preview", (500, 200), 7)],
+    ids=["never ran", "notice", "repeated"],
+)
 def test_a_kill_between_any_two_steps_ends_a_message_once(start, tmp_path, monkeypatch, cls, script, steps):
     """A step is a record, +OK, the bytes of a call or of a notice; the kill comes right before each."""
     (tmp_path / "sitecustomize.py").write_text(KILLS)
@@ -294,7 +327,7 @@
         assert heard == ("" if at < 3 else "+OK"), at
         assert cls == "preview" or len(may_have_run) <= 1, (at, calls)
         assert heard == "" or name in noticed or calls[-1:] == [200], (at, calls)
-        assert at > 1 or not calls and name not in noticed   # not on record: nobody has heard of it
+        assert at > 1 or not calls and name not in noticed  # not on record: nobody has heard of it
 
 
 def told(server, answers, calls, name, over):
--- a/tests/test_races_tries.py
+++ b/tests/test_races_tries.py
@@ -26,17 +26,17 @@
     client = program.client()
     assert client.enqueue("aa01", d=30_000) == "+OK" and client.enqueue("aa02", d=30_000, dest=2) == "+OK"
     line, _ = server.take()
-    line.answer(500)             # one try, which came to its server
+    line.answer(500)  # one try, which came to its server
     line.call()
     settled(client)
     program.kill()
     kept = owed(program)
     assert (kept["aa01"].tries, kept["aa02"].tries) == (0, 2)
     program.start()
-    assert program.discovery.notice() == {"id": "aa02", "status": "undeliverable"}   # it has none left
+    assert program.discovery.notice() == {"id": "aa02", "status": "undeliverable"}  # it has none left
     settled(program.client())
     program.kill()
-    assert list(owed(program)) == ["aa01"]   # and is still tried
+    assert list(owed(program)) == ["aa01"]  # and is still tried
 
 
 @pytest.mark.parametrize("size", [20000, 40000])
@@ -44,7 +44,7 @@
     server = Backend("s1", kind="batching")
     program = start([server], extra__calls_out=1)
     client, names = program.client(), {f"bb{n:02}" for n in range(12)}
-    assert client.enqueue("aa00", "order", 16000) == "+OK"   # it holds the only slot
+    assert client.enqueue("aa00", "order", 16000) == "+OK"  # it holds the only slot
     line, _ = server.take()
     for name in sorted(names):
         assert client.enqueue(name, "order", 16000, body=b"x" * size) == "+OK"
--- a/tests/test_races_windows.py
+++ b/tests/test_races_windows.py
@@ -22,8 +22,13 @@
     classes, tenants = {"any": 0}, {}
 
     def __init__(self, effect):
-        self.settings = Settings(classes=[MessageClass(effect, aim=1.0, deadline=6.0, window=WINDOW)],
-                                 kinds=[DestinationKind()], slots=4, max_open=10, max_attempts=5)
+        self.settings = Settings(
+            classes=[MessageClass(effect, aim=1.0, deadline=6.0, window=WINDOW)],
+            kinds=[DestinationKind()],
+            slots=4,
+            max_open=10,
+            max_attempts=5,
+        )
 
     def repeatable(self, cls):
         return self.settings.classes[cls].effect is Effect.SAFE
@@ -65,18 +70,23 @@
         return went
 
 
-@pytest.mark.parametrize("effect, how, goes", [
-    (Effect.KEYED, ERROR, False),           # what may have run is repeated within the window alone
-    (Effect.KEYED, NOT_CONNECTED, True),    # the window begins with the first attempt that may have run
-    (Effect.SAFE, ERROR, True)])
+@pytest.mark.parametrize(
+    "effect, how, goes",
+    [
+        (Effect.KEYED, ERROR, False),  # what may have run is repeated within the window alone
+        (Effect.KEYED, NOT_CONNECTED, True),  # the window begins with the first attempt that may have run
+        (Effect.SAFE, ERROR, True),
+    ],
+)
 def test_a_repeat_whose_connection_came_up_late_stays_inside_its_window(tmp_path, effect, how, goes):
     async def story():
         desk = OneSender(tmp_path, effect)
         assert await desk.first(how)
-        desk.now += WINDOW - 0.1   # decided on in time; then its connection takes a while
+        desk.now += WINDOW - 0.1  # decided on in time; then its connection takes a while
         assert desk.sender.may_go("s1", Item("aa01", 1, 5.0))
         desk.now += 0.2
         assert desk.sender.may_go("s1", Item("aa01", 2, 5.0)) is goes
+
     asyncio.run(story())
 
 
@@ -88,4 +98,5 @@
         assert not desk.sender.may_go("s1", Item("aa01", 1, 5.0))
         desk.sender.changed([Server("s1", ("127.0.0.1", 1), 1)], 3)
         assert desk.sender.may_go("s1", Item("aa01", 2, 5.0))
+
     asyncio.run(story())
