--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -33,20 +33,51 @@
 
     def say(self, event, at=0.0, /, **fields):
         self.now, self.seq = self.now + at, self.seq + 1
-        self.events.append(Event(Place("tape", len(self.events) + 1), event, f"life{self.name}{self.lives}", self.seq,
-                                 self.now - 900, self.now, fields))
+        self.events.append(
+            Event(
+                Place("tape", len(self.events) + 1),
+                event,
+                f"life{self.name}{self.lives}",
+                self.seq,
+                self.now - 900,
+                self.now,
+                fields,
+            )
+        )
         return self
 
     def taken(self, name, cls="order", left=16.0, at=0.0):
-        return self.say("answered", at, id=name, client=1, answer="taken", cls=cls, dest=1, until=self.now + at + left,
-                        heard=True, again=False)
+        return self.say(
+            "answered",
+            at,
+            id=name,
+            client=1,
+            answer="taken",
+            cls=cls,
+            dest=1,
+            until=self.now + at + left,
+            heard=True,
+            again=False,
+        )
 
     def sent(self, name, attempt=0, server="s1", at=0.0):
         return self.say("sent", at, id=name, attempt=attempt, server=server)
 
     def outcome(self, name, attempt=0, how="delivered", ran="yes", at=0.0):
-        return self.say("outcome", at, id=name, attempt=attempt, server="s1", how=how, ran=ran, elapsed=0.1, wait=0.0,
-                        over=False, read="", cut=False)
+        return self.say(
+            "outcome",
+            at,
+            id=name,
+            attempt=attempt,
+            server="s1",
+            how=how,
+            ran=ran,
+            elapsed=0.1,
+            wait=0.0,
+            over=False,
+            read="",
+            cut=False,
+        )
 
     def over(self, name, how="delivered", at=0.0, left=1.0):
         return self.say("over", at, id=name, how=how, left=left)
@@ -59,8 +90,11 @@
         return report["faults"] if story is None else told
 
     def lines(self):
-        return "".join(json.dumps({"event": e.name, "seq": e.seq, "life": e.life, "mono": e.mono, "unix": e.unix,
-                                   **e.fields}) + "\n" for e in self.events)
+        return "".join(
+            json.dumps({"event": e.name, "seq": e.seq, "life": e.life, "mono": e.mono, "unix": e.unix, **e.fields})
+            + "\n"
+            for e in self.events
+        )
 
 
 def lived(tape, seconds=60.0):
@@ -69,6 +103,7 @@
 
 # --- The audit.
 
+
 def test_a_delivery_and_a_confirmed_notice_are_no_fault():
     tape = Tape().taken("aa01").sent("aa01").outcome("aa01").over("aa01")
     tape.taken("aa02").sent("aa02").outcome("aa02", how="reset", ran="maybe")
@@ -157,6 +192,7 @@
 def test_a_told_wait_binds_its_route_until_it_is_over_or_the_process_ends():
     def waited():
         return Tape().taken("aa01", "preview").taken("aa02", "preview").say("wait", server="s1", route=[1], seconds=2.0)
+
     assert waited().sent("aa01", at=1.9).verdict() == {a.IN_WAIT: 1}
     assert waited().sent("aa01", at=2.1).verdict() == {}
     assert waited().start().sent("aa01", at=1.0).verdict() == {}
@@ -164,8 +200,12 @@
 
 def test_nothing_goes_to_a_server_that_was_told_to_drain():
     def told():
-        return Tape().taken("aa01", "preview").say("table", version=2, whole=False, count=1,
-                                                   changes=[["s1", 1, "draining"]])
+        return (
+            Tape()
+            .taken("aa01", "preview")
+            .say("table", version=2, whole=False, count=1, changes=[["s1", 1, "draining"]])
+        )
+
     assert told().sent("aa01", at=1.9).verdict() == {}
     assert told().sent("aa01", at=2.1).verdict() == {a.TO_DRAINED: 1}
 
@@ -185,8 +225,8 @@
     tape = Tape().taken("aa01").sent("aa01").outcome("aa01", how="turned away", ran="never").sent("aa01", 1)
     tape.outcome("aa01", 1).over("aa01").start().say("ready", port=1).taken("aa02").say("stopped", owed=1)
     for n in range(len(tape.events)):
-        a.audit(tape.events[:n] + tape.events[n + 1:], Passed())
-        a.audit(tape.events[:n] + tape.events[n:n + 1] * 2 + tape.events[n + 1:], Passed())
+        a.audit(tape.events[:n] + tape.events[n + 1 :], Passed())
+        a.audit(tape.events[:n] + tape.events[n : n + 1] * 2 + tape.events[n + 1 :], Passed())
 
 
 def test_an_event_without_its_fields_is_passed_over_and_named():
@@ -197,11 +237,15 @@
 
 # --- Reading.
 
+
 def test_torn_and_foreign_lines_are_counted_and_named(tmp_path):
     good = Tape().taken("aa01").lines().splitlines()
     file = tmp_path / "records"
-    file.write_bytes("\n".join([good[0], "a log line", '{"event": 3}', '["list"]', "", good[1]]).encode()
-                     + b"\n\xff\xfe\0\n" + b'{"event":"sent","se')
+    file.write_bytes(
+        "\n".join([good[0], "a log line", '{"event": 3}', '["list"]', "", good[1]]).encode()
+        + b"\n\xff\xfe\0\n"
+        + b'{"event":"sent","se'
+    )
     passed = Passed()
     assert [e.name for e in read([file], passed)] == ["started", "ready"]
     assert [n.split(":")[1] for n in passed.named] == ["2", "3", "4", "7", "8"] and "torn" in passed.named[-1]
@@ -237,7 +281,7 @@
         data = bytearray(whole)
         for _ in range(luck.randint(1, 6)):
             data[luck.randrange(len(data))] = luck.randrange(256)
-        file.write_bytes(data[:luck.randint(1, len(data))])
+        file.write_bytes(data[: luck.randint(1, len(data))])
         passed = Passed()
         a.audit(read([file], passed), passed)
 
@@ -249,6 +293,7 @@
 
 # --- Writing.
 
+
 class Loop:
     """The turns that a loop would give."""
 
@@ -332,32 +377,41 @@
     monkeypatch.setattr(r.os, "write", lambda f, d: real(f, d[:7]) if full[0] else real(f, d))
     made.note("sent", id="aa01", attempt=0, server="s1")
     loop.turn()
-    assert (tmp_path / "records.jsonl").read_bytes() == b""   # no torn line stays
+    assert (tmp_path / "records.jsonl").read_bytes() == b""  # no torn line stays
     full[0] = False
     made.note("sent", id="aa02", attempt=0, server="s1")
     made.close()
     passed = Passed()
     events = list(read([tmp_path / "records.jsonl"], passed))
     assert passed.count == 0
-    assert [e.fields["lost"] for e in events if e.name == "gap"] == [2]   # the start and one dispatch
+    assert [e.fields["lost"] for e in events if e.name == "gap"] == [2]  # the start and one dispatch
     assert [e.fields["id"] for e in events if e.name == "sent"] == ["aa02"]
 
 
 # --- Settings and the command.
 
-@pytest.mark.parametrize("text, named", [
-    ('{"on": true, "most_mb": "much"}', "$.most_mb"), ('{"on": true, "most_mb": 0}', "$.most_mb"),
-    ('{"on": true, "parts": 1}', "$.parts"), ('{"on": true, "where": "x"}', "where"),
-    ('{"on": true, "most_held": 2.5}', "$.most_held"), ('{"on": true, "file": ""}', "$.file"),
-    ('{"on": true, "most_mb": 1}', "most_mb must be at most 0.15")])
+
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"on": true, "most_mb": "much"}', "$.most_mb"),
+        ('{"on": true, "most_mb": 0}', "$.most_mb"),
+        ('{"on": true, "parts": 1}', "$.parts"),
+        ('{"on": true, "where": "x"}', "where"),
+        ('{"on": true, "most_held": 2.5}', "$.most_held"),
+        ('{"on": true, "file": ""}', "$.file"),
+        ('{"on": true, "most_mb": 1}', "most_mb must be at most 0.15"),
+    ],
+)
 def test_a_wrong_key_is_named(tmp_path, text, named):
     with pytest.raises(OptionError) as bad:
         read_settings(text.encode(), tmp_path, 3_000_000)
     assert named in str(bad.value) and "records.json" in str(bad.value)
 
 
-@pytest.mark.parametrize("text, named", [
-    ("{", "no JSON"), ("[]", "must be an object"), ('{"on": "yes"}', "on must be true or false")])
+@pytest.mark.parametrize(
+    "text, named", [("{", "no JSON"), ("[]", "must be an object"), ('{"on": "yes"}', "on must be true or false")]
+)
 def test_a_switch_that_cannot_be_read_is_named(tmp_path, text, named):
     (tmp_path / "records.json").write_text(text)
     with pytest.raises(OptionError, match=named):
@@ -367,6 +421,7 @@
 def test_the_shipped_file_is_off_and_lawful_and_its_schema_is_the_programs(tmp_path):
     assert switched_on("records", {}) is None
     from linkdock.options import FOLDER
+
     read_settings((FOLDER / "records.json").read_bytes(), tmp_path, 3_000_000)
     assert json.loads((FOLDER / "schema" / "records.json").read_text()) == schema()
 
@@ -391,7 +446,9 @@
 
 
 def test_off_means_not_imported():
-    code = ("import sys, linkdock.service.run\n"
-            "print([m for m in sys.modules if m.split('.')[0] in ('structlog', 'msgspec', 'click')"
-            " or m.startswith(('linkdock.records', 'linkdock.console'))])")
+    code = (
+        "import sys, linkdock.service.run\n"
+        "print([m for m in sys.modules if m.split('.')[0] in ('structlog', 'msgspec', 'click')"
+        " or m.startswith(('linkdock.records', 'linkdock.console'))])"
+    )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout.strip() == "[]"
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,11 +15,26 @@
 
 def settings(effect=i.Effect.SAFE, **more):
     given = dict(
-        classes=[i.MessageClass(effect, aim=2.0, deadline=20.0, late_share=0.4, window=5.0,
-                                in_order=more.pop("in_order", False))],
-        kinds=[i.DestinationKind(apart=more.pop("apart", False))], slots=8, max_open=100, max_attempts=6,
-        relays=2, cancel=True, retry_after=True, max_retry_after=3.0, fall_multiple=2.0, tip_after=2.0,
-        cold_share=0.2, cold_time=10.0, order_rest=0.3, rough_weights=False)
+        classes=[
+            i.MessageClass(
+                effect, aim=2.0, deadline=20.0, late_share=0.4, window=5.0, in_order=more.pop("in_order", False)
+            )
+        ],
+        kinds=[i.DestinationKind(apart=more.pop("apart", False))],
+        slots=8,
+        max_open=100,
+        max_attempts=6,
+        relays=2,
+        cancel=True,
+        retry_after=True,
+        max_retry_after=3.0,
+        fall_multiple=2.0,
+        tip_after=2.0,
+        cold_share=0.2,
+        cold_time=10.0,
+        order_rest=0.3,
+        rough_weights=False,
+    )
     return i.Settings(**{**given, **more})
 
 
@@ -178,8 +193,14 @@
 
 def test_odd_events_are_ignored():
     rig = Rig()
-    assert not rig.step(0, i.Outcome(99, 0, "a", R.OK, 0.1, True), i.Withdrawn(98), i.TimerDue(77),
-                        i.Probed("z", R.OK, 0.1), i.Outcome(1, 3, "z", R.RESET, 0.1))
+    assert not rig.step(
+        0,
+        i.Outcome(99, 0, "a", R.OK, 0.1, True),
+        i.Withdrawn(98),
+        i.TimerDue(77),
+        i.Probed("z", R.OK, 0.1),
+        i.Outcome(1, 3, "z", R.RESET, 0.1),
+    )
 
 
 def test_impossible_settings():
@@ -189,6 +210,7 @@
 
 # --- Failures found.
 
+
 def stop(rig, result=R.RESET, host="a"):
     """Three failures on end, of messages that are then over."""
     mid = 5000
@@ -318,24 +340,23 @@
     rig.relay.go_down(rig.relay.links["a"], "test")
     rig.step(10)
     rig.relay.back(rig.relay.links["a"])
-    assert route.part == pytest.approx(1 / 2, rel=0.01)   # two relays know of it
-
+    assert route.part == pytest.approx(1 / 2, rel=0.01)  # two relays know of it
 
 
 def test_refusals_of_calls_out_together_at_a_limit_are_one_blow():
     rig = Rig()
     rig.warm()
-    route, report = rig.relay.links["a"].route, i.Report(0.5, 200.0)   # older than the limit's use
+    route, report = rig.relay.links["a"].route, i.Report(0.5, 200.0)  # older than the limit's use
     rig.step(0, *(i.Message(mid, 0, 1, 20.0) for mid in range(1, 5)))
     before = route.part
     rig.message(5)
     rig.outcome(5, R.OK, later=0.01, report=report)
     for mid in range(1, 5):
         rig.outcome(mid, R.FULL, later=0.0, wait=0.2, report=report)
-    assert 0.35 <= route.part < before   # most of the even part of two relays
+    assert 0.35 <= route.part < before  # most of the even part of two relays
     cut = route.part
     rig.step(1.0)
-    rig.outcome(1, R.FULL, wait=0.2)   # sent after the first blow, and so another, which may go further down
+    rig.outcome(1, R.FULL, wait=0.2)  # sent after the first blow, and so another, which may go further down
     assert route.part < cut
 
 
@@ -379,10 +400,10 @@
 
 
 def test_a_keyed_call_leaves_half_of_its_window_for_another():
-    rig = Rig(effect=i.Effect.KEYED)   # its window is 5 s
+    rig = Rig(effect=i.Effect.KEYED)  # its window is 5 s
     assert of(i.Send, rig.message(1))[0].timeout == pytest.approx(2.5)
     acts = rig.outcome(1, R.TIMEOUT, later=2.5, elapsed=2.5)
-    assert [s.id for s in of(i.Send, acts)] == [1]   # the answer was lost, and the window still open
+    assert [s.id for s in of(i.Send, acts)] == [1]  # the answer was lost, and the window still open
 
 
 def test_a_keyed_call_is_never_cut_under_the_floor():
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -25,16 +25,24 @@
         if luck.random() < 0.3:
             assert roster.remove(name) is (plain.pop(name, None) is not None)
         else:
-            told = Server(name, (luck.choice(["10.1.2.3", "::1", "a.example", ""]), luck.randrange(65536)),
-                          luck.randrange(-3, 40), luck.choice(["ready", "draining"]), luck.randrange(3),
-                          luck.randrange(4), 0.5, float(luck.randrange(10 ** 9)))
+            told = Server(
+                name,
+                (luck.choice(["10.1.2.3", "::1", "a.example", ""]), luck.randrange(65536)),
+                luck.randrange(-3, 40),
+                luck.choice(["ready", "draining"]),
+                luck.randrange(3),
+                luck.randrange(4),
+                0.5,
+                float(luck.randrange(10**9)),
+            )
             roster.put(told)
             plain[name] = told
         if step % 500 == 0:
             assert {s.name: s for s in roster} == plain and len(roster) == len(plain)
             for destination in range(-3, 40):
-                assert sorted(roster.of(destination)) == sorted(s for s in plain.values()
-                                                                if s.destination == destination)
+                assert sorted(roster.of(destination)) == sorted(
+                    s for s in plain.values() if s.destination == destination
+                )
                 assert roster.knows(destination) is any(s.destination == destination for s in plain.values())
     assert all(roster.row(name) == plain.get(name) for name in names)
 
@@ -44,7 +52,7 @@
     for n in range(1000):
         roster.put(server(f"s-{n}", n))
     size = roster.size()
-    for n in range(50_000):   # a day of replaced ids
+    for n in range(50_000):  # a day of replaced ids
         roster.put(server(f"s-{n}", health="gone"))
         roster.put(server(f"s-{n + 1000}", n % 1000))
     assert len(roster) == 1000 and roster.size() < 1.3 * size
@@ -69,6 +77,7 @@
 
 # --- The server table.
 
+
 def test_a_destination_is_known_a_while_after_its_last_server_has_gone():
     now = [0.0]
     table = ServerTable([False], lambda: now[0])
@@ -106,19 +115,29 @@
 
 # --- Lines.
 
+
 def line(rows, seq=3, whole=True, **more):
     return json.dumps({"seq": seq, "whole": whole, "hosts": rows, **more}).encode() + b"\n"
 
 
 def row(name, **more):
-    return {"host": name, "dial": "10.0.0.1:6379", "site": "a", "class": "x", "block": 1, "health": "ready",
-            "share": 1.0, "born_ms": 0, **more}
+    return {
+        "host": name,
+        "dial": "10.0.0.1:6379",
+        "site": "a",
+        "class": "x",
+        "block": 1,
+        "health": "ready",
+        "share": 1.0,
+        "born_ms": 0,
+        **more,
+    }
 
 
 def fed(data, size):
     reader, rows, told = ListReader(), [], []
     for at in range(0, len(data), size):
-        for part in reader.feed(data[at:at + size]):
+        for part in reader.feed(data[at : at + size]):
             if isinstance(part, Rows):
                 rows += part.rows
             else:
@@ -130,18 +149,25 @@
 @pytest.mark.parametrize("size", [1, 7, 64, 1 << 20])
 def test_lines_are_read_alike_in_whatever_pieces_they_come(size):
     odd = [row('brace } ] " \\ ж'), row("b", extra={"deep": [1, {"x": "]}"}]}), {}]
-    data = (b"\n" + line(odd) + b"\n\n" + line([], whole=False, seq=4) + line([row("c"), row("d")], seq=5, more="]"))
+    data = b"\n" + line(odd) + b"\n\n" + line([], whole=False, seq=4) + line([row("c"), row("d")], seq=5, more="]")
     assert fed(data, size) == [(Told(True, 3), odd), (Told(False, 4), []), (Told(True, 5), [row("c"), row("d")])]
 
 
 @pytest.mark.parametrize("indent", [1, 4, "\t"])
 @pytest.mark.parametrize("size", [1, 7, 64, 1 << 20])
 def test_lists_may_come_indented_and_tell_the_same(size, indent):
-    odd = [row('brace } ] " \\ ж', share=0.25, born_ms=-1.5e-7),
-           row("b", extra={"deep": [1, {"x": None}]}), {}, 7, True]
+    odd = [
+        row('brace } ] " \\ ж', share=0.25, born_ms=-1.5e-7),
+        row("b", extra={"deep": [1, {"x": None}]}),
+        {},
+        7,
+        True,
+    ]
     lists = [(True, 3, odd), (False, 4, []), (True, 5, [row("c"), row("d")])]
-    data = "\n".join(json.dumps({"seq": seq, "whole": whole, "hosts": rows, "more": [1]}, indent=indent) + "\n"
-                     for whole, seq, rows in lists).encode()
+    data = "\n".join(
+        json.dumps({"seq": seq, "whole": whole, "hosts": rows, "more": [1]}, indent=indent) + "\n"
+        for whole, seq, rows in lists
+    ).encode()
     assert fed(data, size) == [(Told(whole, seq), rows) for whole, seq, rows in lists]
 
 
@@ -150,11 +176,27 @@
     assert fed(data, 10) == [(Told(True, 9), [row("a")])]
 
 
-@pytest.mark.parametrize("data", [
-    b"no list\n", b'{"seq":1}\n', b"[1]\n", b'{"hosts":[{"a":}]}\n', b'{"hosts":[{},}\n', b'{"hosts":[]\n\n',
-    b'{"hosts":[{"a":1,\n{"seq":4,"hosts":[]}\n', b'{"hosts":[{"a":"\n', b'{"seq":1,\n\n', b'{"hosts":[]}x\n',
-    b'{"seq":"x","hosts":[]}\n', b"x" * 70_000, b'{"hosts":[{"a":"' + b"x" * 20_000, b'{"hosts":[]' + b" " * 70_000,
-    b"\xff\xfe\n", b'{"hosts":[' + b"[" * 100_000])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"no list\n",
+        b'{"seq":1}\n',
+        b"[1]\n",
+        b'{"hosts":[{"a":}]}\n',
+        b'{"hosts":[{},}\n',
+        b'{"hosts":[]\n\n',
+        b'{"hosts":[{"a":1,\n{"seq":4,"hosts":[]}\n',
+        b'{"hosts":[{"a":"\n',
+        b'{"seq":1,\n\n',
+        b'{"hosts":[]}x\n',
+        b'{"seq":"x","hosts":[]}\n',
+        b"x" * 70_000,
+        b'{"hosts":[{"a":"' + b"x" * 20_000,
+        b'{"hosts":[]' + b" " * 70_000,
+        b"\xff\xfe\n",
+        b'{"hosts":[' + b"[" * 100_000,
+    ],
+)
 @pytest.mark.parametrize("size", [13, 4096])
 def test_what_is_no_list_is_refused_and_holds_little(data, size):
     with pytest.raises(BadList):
@@ -188,7 +230,7 @@
 def stage(desk, data, most=1 << 20, size=4096):
     reader, staging = ListReader(), Staging(desk, most)
     for at in range(0, len(data), size):
-        for part in reader.feed(data[at:at + size]):
+        for part in reader.feed(data[at : at + size]):
             if isinstance(part, Rows):
                 staging.rows(read_rows(part.rows, ["a"], ["x"]), part.whole)
             else:
@@ -219,7 +261,15 @@
 
 
 def test_rows_that_cannot_be_read_are_passed_over_and_the_log_is_bounded(caplog):
-    bad = [row("a", dial="nowhere"), row("b", health="well"), row("c", block="x"), {}, 3, row("d", dial="h:99999"),
-           row("e", block=1 << 70), row("f", share="much")]
+    bad = [
+        row("a", dial="nowhere"),
+        row("b", health="well"),
+        row("c", block="x"),
+        {},
+        3,
+        row("d", dial="h:99999"),
+        row("e", block=1 << 70),
+        row("f", share="much"),
+    ]
     assert [s.name for s in read_rows([*bad, row("g"), *bad * 50], ["a"], ["x"])] == ["g"]
     assert len(caplog.records) <= 21
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -110,8 +110,14 @@
         self.need(calls <= self.told.slots, "slots")
 
 
-STEP = st.tuples(st.sampled_from(["message", "outcome", "list", "pass"]), st.floats(0.01, 3.0),
-                 st.integers(0, 2), st.integers(0, 7), st.sampled_from(["a", "b", "c"]), st.booleans())
+STEP = st.tuples(
+    st.sampled_from(["message", "outcome", "list", "pass"]),
+    st.floats(0.01, 3.0),
+    st.integers(0, 2),
+    st.integers(0, 7),
+    st.sampled_from(["a", "b", "c"]),
+    st.booleans(),
+)
 
 
 def play(told, steps):
@@ -134,7 +140,7 @@
     feed([i.Hosts(i.ListKind.CACHED, [i.HostEntry(h, d, weight=20.0) for h, d in HOSTS.items()])])
     for what, later, cls, choice, host, flag in steps:
         end = now + later
-        while True:   # timers and time-outs come at their times
+        while True:  # timers and time-outs come at their times
             due = [(at, k) for k, (at, _) in timeouts.items()]
             at, key = min(due, default=(1e9, None))
             ring = bell.at if bell else 1e9
@@ -157,27 +163,46 @@
             _, where = timeouts.pop(key)
             result = list(R)[choice]
             done = key[0] not in check.owed or result is R.OK
-            feed([i.Outcome(*key, where, result, now - check.out[key], done,
-                            0.5 if flag and result is R.FULL else 0.0)])
+            feed(
+                [i.Outcome(*key, where, result, now - check.out[key], done, 0.5 if flag and result is R.FULL else 0.0)]
+            )
         elif what == "list":
             state = i.HostState.DRAINING if flag else i.HostState.READY
             feed([i.Hosts(i.ListKind.DELTA, [i.HostEntry(host, HOSTS[host], state, weight=20.0)])])
 
 
 def told(slots=2, relays=3, cancel=True, batch=1):
-    classes = [i.MessageClass(i.Effect.SAFE, 1.0, 16.0, late_share=0.3),
-               i.MessageClass(i.Effect.KEYED, 1.0, 16.0, 2.0, 0.3, True, 5.0),
-               i.MessageClass(i.Effect.UNSAFE, 1.0, 16.0, 2.0, 0.3, True)]
+    classes = [
+        i.MessageClass(i.Effect.SAFE, 1.0, 16.0, late_share=0.3),
+        i.MessageClass(i.Effect.KEYED, 1.0, 16.0, 2.0, 0.3, True, 5.0),
+        i.MessageClass(i.Effect.UNSAFE, 1.0, 16.0, 2.0, 0.3, True),
+    ]
     return i.Settings(
-        classes=classes, kinds=[i.DestinationKind(batch=batch)], slots=slots, max_open=20, max_attempts=3,
+        classes=classes,
+        kinds=[i.DestinationKind(batch=batch)],
+        slots=slots,
+        max_open=20,
+        max_attempts=3,
         relays=relays,
-        cancel=cancel, fall_multiple=2.0, tip_after=2.0, cold_share=0.2, cold_time=10.0, order_rest=0.3,
-        drain_grace=0.5, answer_slack=0.02)
+        cancel=cancel,
+        fall_multiple=2.0,
+        tip_after=2.0,
+        cold_share=0.2,
+        cold_time=10.0,
+        order_rest=0.3,
+        drain_grace=0.5,
+        answer_slack=0.02,
+    )
 
 
 @settings(derandomize=True, max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
-@given(st.lists(STEP, min_size=5, max_size=60), st.integers(1, 4), st.sampled_from([1, 3, 300]),
-       st.booleans(), st.sampled_from([1, 5]))
+@given(
+    st.lists(STEP, min_size=5, max_size=60),
+    st.integers(1, 4),
+    st.sampled_from([1, 3, 300]),
+    st.booleans(),
+    st.sampled_from([1, 5]),
+)
 def test_the_rules_hold_whatever_comes(steps, slots, relays, cancel, batch):
     play(told(slots, relays, cancel, batch), steps)
 
@@ -198,15 +223,19 @@
     "one copy": [message(1), [SEND, SEND]],
     "slots": [message(1), message(2), message(3), [SEND, i.Send(2, "a", 1.0), i.Send(3, "a", 1.0)]],
     "no effect twice": [message(1, 2), [SEND], i.Outcome(1, 0, "a", R.ERROR, 0.1), [SEND]],
-    "a refusal promises that nothing ran": [message(1, 2), [SEND], i.Outcome(1, 0, "a", R.ERROR, 0.1),
-                                            [i.Refuse(1)]],
-    "a keyed repeat within its window": [message(1, 1), [SEND], i.Outcome(1, 0, "a", R.ERROR, 0.1), 6.0,
-                                         [SEND]],
+    "a refusal promises that nothing ran": [message(1, 2), [SEND], i.Outcome(1, 0, "a", R.ERROR, 0.1), [i.Refuse(1)]],
+    "a keyed repeat within its window": [message(1, 1), [SEND], i.Outcome(1, 0, "a", R.ERROR, 0.1), 6.0, [SEND]],
     "order": [message(1, 2, 5), message(2, 2, 5), [i.Send(2, "a", 1.0)]],
-    "the key rests": [message(1, 2, 5), message(2, 2, 5), [SEND], i.Outcome(1, 0, "a", R.RESET, 0.1),
-                      [i.Fail(1)], 0.1, [i.Send(2, "a", 1.0)]],
-    "attempts": [message(1), *(s for n in range(3) for s in ([SEND], i.Outcome(1, n, "a", R.FULL, 0.1))),
-                 [SEND]],
+    "the key rests": [
+        message(1, 2, 5),
+        message(2, 2, 5),
+        [SEND],
+        i.Outcome(1, 0, "a", R.RESET, 0.1),
+        [i.Fail(1)],
+        0.1,
+        [i.Send(2, "a", 1.0)],
+    ],
+    "attempts": [message(1), *(s for n in range(3) for s in ([SEND], i.Outcome(1, n, "a", R.FULL, 0.1))), [SEND]],
 }
 
 
--- a/tests/test_scarce_connections.py
+++ b/tests/test_scarce_connections.py
@@ -28,6 +28,7 @@
 
 async def outcomes(*answers):
     """How calls end that are made one after another, each answered so; a kept connection is used again."""
+
     async def serve(reader, writer):
         while (await reader.readuntil(b"\r\n\r\n")) and script:
             await reader.readexactly(1)
@@ -60,11 +61,15 @@
         await asyncio.sleep(wheel.tick)
 
 
-@pytest.mark.parametrize("answers, ends", [
-    ([b"503 No\r\nConnection: close"], [NOT_CONNECTED]),
-    ([b"503 No"], [TURNED_AWAY]),                                    # what it told is about the call
-    ([b"503 No", b"503 No\r\nConnection: close"], [TURNED_AWAY, TURNED_AWAY]),   # this connection it had taken
-    ([b"503 No\r\nConnection: close\r\nX-Line-Busy: 1"], [NOT_SENT]),
-    ([b"429 No\r\nConnection: close\r\nRetry-After: 0.5"], [TURNED_AWAY])])
+@pytest.mark.parametrize(
+    "answers, ends",
+    [
+        ([b"503 No\r\nConnection: close"], [NOT_CONNECTED]),
+        ([b"503 No"], [TURNED_AWAY]),  # what it told is about the call
+        ([b"503 No", b"503 No\r\nConnection: close"], [TURNED_AWAY, TURNED_AWAY]),  # this connection it had taken
+        ([b"503 No\r\nConnection: close\r\nX-Line-Busy: 1"], [NOT_SENT]),
+        ([b"429 No\r\nConnection: close\r\nRetry-After: 0.5"], [TURNED_AWAY]),
+    ],
+)
 def test_a_new_connection_that_is_turned_away_is_no_call_turned_away(answers, ends):
     assert asyncio.run(outcomes(*answers)) == ends
--- a/tests/test_settings_bounds.py
+++ b/tests/test_settings_bounds.py
@@ -14,15 +14,25 @@
 from linkdock.errors import exit_line
 from linkdock.service import config
 
-R, INF, HUGE = i.Result, math.inf, 10 ** 400
+R, INF, HUGE = i.Result, math.inf, 10**400
 
 
 # --- What is told to a sender.
 
+
 def told(path=(), value=None):
     """The configuration of the stories with one value in another's place."""
-    whole = json.loads(json.dumps({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff",
-                                   "settings": told_settings()}))
+    whole = json.loads(
+        json.dumps(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:1",
+                "discovery": "127.0.0.1:2",
+                "seed": "ff",
+                "settings": told_settings(),
+            }
+        )
+    )
     *parts, last = path or ("name",)
     inner = whole
     for key in parts:
@@ -36,17 +46,24 @@
 WRONG = [
     *((GRADE + ("aim",), v, r"grades\[0\].aim") for v in (0, -1, "1", INF, math.nan, HUGE, True, None)),
     *((GRADE + ("hard-limit",), v, r"grades\[0\].hard-limit") for v in (0, INF, HUGE)),
-    (GRADE + ("name",), "order", "names of their own"), (GRADE + ("group",), "cell", r"grades\[0\].group"),
+    (GRADE + ("name",), "order", "names of their own"),
+    (GRADE + ("group",), "cell", r"grades\[0\].group"),
     *((("settings", "rules", key), v, key) for key in ("fall-multiple", "tip-after") for v in (0, INF, HUGE, "")),
     *((("settings", "rules", key), v, key) for key in ("cold", "cold-share", "drain-grace") for v in (-1, INF)),
     *((("settings", "extra", "zone-fee"), [v], r"zone-fee\[0\]") for v in (None, "x", [1], HUGE, INF, math.nan)),
     *((("settings", "extra", "separate-routes"), [v], r"separate-routes\[0\]") for v in ("false", None, 2)),
     *((("settings", "extra", "bundle-max"), [1, v], r"bundle-max\[1\]") for v in (True, None, 0, "1")),
     *((("settings", "limits", key), v, key) for key in ("max-open", "max-attempts") for v in (0, HUGE, 1.5, None)),
-    (("settings", "extra", "calls-out"), 0, "calls-out"), (("settings", "limits", "connect-timeout"), 0, "connect-"),
-    (("settings", "projects"), [None], r"projects\[0\]"), (("settings", "grades"), [], "grades"),
-    (("settings", "tick"), 0, "tick"), (("limits", "memory_mb"), INF, "memory_mb"), (("settings",), None, "settings"),
-    (("discovery",), "a:" + "9" * 5000, "discovery"), (("seed",), "", "seed")]
+    (("settings", "extra", "calls-out"), 0, "calls-out"),
+    (("settings", "limits", "connect-timeout"), 0, "connect-"),
+    (("settings", "projects"), [None], r"projects\[0\]"),
+    (("settings", "grades"), [], "grades"),
+    (("settings", "tick"), 0, "tick"),
+    (("limits", "memory_mb"), INF, "memory_mb"),
+    (("settings",), None, "settings"),
+    (("discovery",), "a:" + "9" * 5000, "discovery"),
+    (("seed",), "", "seed"),
+]
 
 
 @pytest.mark.parametrize("path, value, key", WRONG, ids=range(len(WRONG)))
@@ -56,10 +73,20 @@
     assert "LD-CONFIG" in exit_line(bad.value) and len(str(bad.value)) < 200
 
 
-@pytest.mark.parametrize("text", ['{"settings": ' + "[" * 100_000, "[", '{"seed": ' + "1" * 5000 + "}", "null", "\xff",
-                                  json.dumps(told(("settings", "extra", "zone-fee"), [None])),
-                                  json.dumps(told(GRADE + ("aim",), HUGE)),
-                                  json.dumps(told(("discovery",), "a:" + "9" * 5000))], ids=range(8))
+@pytest.mark.parametrize(
+    "text",
+    [
+        '{"settings": ' + "[" * 100_000,
+        "[",
+        '{"seed": ' + "1" * 5000 + "}",
+        "null",
+        "\xff",
+        json.dumps(told(("settings", "extra", "zone-fee"), [None])),
+        json.dumps(told(GRADE + ("aim",), HUGE)),
+        json.dumps(told(("discovery",), "a:" + "9" * 5000)),
+    ],
+    ids=range(8),
+)
 def test_a_spoilt_file_stops_a_start_with_its_code_and_leaves_a_reload_as_it_was(tmp_path, text):
     path = tmp_path / "relay.json"
     environ = {"RELAY_CONFIG": str(path), "RELAY_STATE": str(tmp_path)}
@@ -72,12 +99,36 @@
     assert config.reload(old, environ) is old
 
 
-OPTIONAL = [("settings", *path) for path in (
-    ("rules", "cold"), ("rules", "cold-share"), ("rules", "fall-multiple"), ("rules", "tip-after"), ("tariffs",),
-    ("rules", "settle-after-doubt"), ("rules", "drain-grace"), ("limits", "max-retry-after"), ("limits", "cancel"),
-    ("limits", "connect-timeout"), ("limits", "idle-close"), ("extra", "zone-fee"), ("extra", "bundle-max"), ("tick",),
-    ("weights",), ("discovery",), ("projects",), ("zones",), ("machine-types",), ("report",), ("over-share-worth",),
-    ("balancers",), ("grades", 0, "window"), ("grades", 0, "group"), ("grades", 0, "late-share"))]
+OPTIONAL = [
+    ("settings", *path)
+    for path in (
+        ("rules", "cold"),
+        ("rules", "cold-share"),
+        ("rules", "fall-multiple"),
+        ("rules", "tip-after"),
+        ("tariffs",),
+        ("rules", "settle-after-doubt"),
+        ("rules", "drain-grace"),
+        ("limits", "max-retry-after"),
+        ("limits", "cancel"),
+        ("limits", "connect-timeout"),
+        ("limits", "idle-close"),
+        ("extra", "zone-fee"),
+        ("extra", "bundle-max"),
+        ("tick",),
+        ("weights",),
+        ("discovery",),
+        ("projects",),
+        ("zones",),
+        ("machine-types",),
+        ("report",),
+        ("over-share-worth",),
+        ("balancers",),
+        ("grades", 0, "window"),
+        ("grades", 0, "group"),
+        ("grades", 0, "late-share"),
+    )
+]
 
 
 @pytest.mark.parametrize("path", OPTIONAL, ids=lambda path: ".".join(map(str, path)))
@@ -89,33 +140,54 @@
     del inner[path[-1]]
     assert config.check(null, tmp_path) == config.check(missing, tmp_path)
     assert wire.read_settings(json.dumps(null["settings"]).encode()) == wire.read_settings(
-        json.dumps(missing["settings"]).encode())
+        json.dumps(missing["settings"]).encode()
+    )
 
 
 def test_every_default_is_finite_and_no_tick_is_longer_than_a_client_waits(tmp_path):
-    bare = {"grades": [{"name": "one", "idempotency": "idempotency_key", "aim": 1, "hard-limit": 1}],
-            "limits": {"max-open": 1, "max-attempts": 1}, "extra": {"calls-out": 1}, "rules": {}}
-    for read in (config.check({**told(), "settings": bare}, tmp_path).settings,
-                 wire.read_settings(json.dumps(bare).encode())):
+    bare = {
+        "grades": [{"name": "one", "idempotency": "idempotency_key", "aim": 1, "hard-limit": 1}],
+        "limits": {"max-open": 1, "max-attempts": 1},
+        "extra": {"calls-out": 1},
+        "rules": {},
+    }
+    for read in (
+        config.check({**told(), "settings": bare}, tmp_path).settings,
+        wire.read_settings(json.dumps(bare).encode()),
+    ):
         for name in i.Settings.__slots__:
             value = getattr(read, name)
             assert not isinstance(value, float) or 0 <= value <= 60, name
         assert not (read.cancel or read.second_copies or read.retry_after or read.probes or read.told_weights)
-        assert read.classes[0].window == 0.0   # told of no window, it repeats nothing that may have run
+        assert read.classes[0].window == 0.0  # told of no window, it repeats nothing that may have run
     assert config.check(told(("settings", "tick"), 1e9), tmp_path).settings.tick <= 0.1
 
 
-BARE = {"grades": [{"idempotency": "read_like", "aim": 1.0, "hard-limit": 6.0}], "extra": {"calls-out": 5},
-        "limits": {"max-open": 50, "max-attempts": 4}, "rules": {}}
-
-
-@pytest.mark.parametrize("more, named", [
-    ({"rules": {"tip-after": 0}}, "tip_after"), ({"rules": {"fall-multiple": 0}}, "fall_multiple"),
-    ({"grades": []}, "classes"), ({"grades": [{**BARE["grades"][0], "aim": 0}]}, "aim"),
-    ({"grades": [{**BARE["grades"][0], "hard-limit": INF}]}, "deadline"), ({"me": 3}, "me"),
-    ({"grades": [{**BARE["grades"][0], "group": "cell"}]}, "group"), ({"grades": [5]}, ""),
-    ({"extra": {"calls-out": INF}}, ""), ({"report": {"fields": [1]}}, "fields"), ({"report": 5}, ""),
-    ({"grades": [{**BARE["grades"][0], "idempotency": []}]}, "")])
+BARE = {
+    "grades": [{"idempotency": "read_like", "aim": 1.0, "hard-limit": 6.0}],
+    "extra": {"calls-out": 5},
+    "limits": {"max-open": 50, "max-attempts": 4},
+    "rules": {},
+}
+
+
+@pytest.mark.parametrize(
+    "more, named",
+    [
+        ({"rules": {"tip-after": 0}}, "tip_after"),
+        ({"rules": {"fall-multiple": 0}}, "fall_multiple"),
+        ({"grades": []}, "classes"),
+        ({"grades": [{**BARE["grades"][0], "aim": 0}]}, "aim"),
+        ({"grades": [{**BARE["grades"][0], "hard-limit": INF}]}, "deadline"),
+        ({"me": 3}, "me"),
+        ({"grades": [{**BARE["grades"][0], "group": "cell"}]}, "group"),
+        ({"grades": [5]}, ""),
+        ({"extra": {"calls-out": INF}}, ""),
+        ({"report": {"fields": [1]}}, "fields"),
+        ({"report": 5}, ""),
+        ({"grades": [{**BARE["grades"][0], "idempotency": []}]}, ""),
+    ],
+)
 def test_spoilt_settings_on_the_wire_are_an_error_with_its_code(more, named):
     text = json.dumps({**BARE, **more}).encode()
     made = struct.pack("<BIQII", 0, 9, 5, 0, len(text)).ljust(48, b"\0")
@@ -126,11 +198,24 @@
 
 # --- The decisions at the bounds of what they can be told.
 
+
 def settings(*classes, **more):
     """One class unless told otherwise: 1 s of aim, 6 s of time."""
-    given = dict(classes=list(classes) or [i.MessageClass(i.Effect.SAFE, 1.0, 6.0)], kinds=[i.DestinationKind()],
-                 slots=4, max_open=20, max_attempts=6, relays=2, cancel=True, retry_after=True, max_retry_after=3.0,
-                 fall_multiple=1.5, tip_after=2.0, cold_share=0.3, cold_time=10.0)
+    given = dict(
+        classes=list(classes) or [i.MessageClass(i.Effect.SAFE, 1.0, 6.0)],
+        kinds=[i.DestinationKind()],
+        slots=4,
+        max_open=20,
+        max_attempts=6,
+        relays=2,
+        cancel=True,
+        retry_after=True,
+        max_retry_after=3.0,
+        fall_multiple=1.5,
+        tip_after=2.0,
+        cold_share=0.3,
+        cold_time=10.0,
+    )
     return i.Settings(**{**given, **more})
 
 
@@ -168,9 +253,15 @@
 def test_a_server_that_is_listed_for_another_destination_serves_the_first_no_more():
     made = relay()
     assert sent(made.handle(1.0, [i.Message(1, 0, 1, 6.0)])) == [1]
-    acts = made.handle(2.0, [i.Hosts(i.ListKind.DELTA, [i.HostEntry("a", 2, weight=200.0)]), i.Message(2, 0, 1, 6.0),
-                             i.Message(3, 0, 2, 6.0)])
-    assert sent(acts) == [3]   # 1 had been sent before it moved, and ends as any other
+    acts = made.handle(
+        2.0,
+        [
+            i.Hosts(i.ListKind.DELTA, [i.HostEntry("a", 2, weight=200.0)]),
+            i.Message(2, 0, 1, 6.0),
+            i.Message(3, 0, 2, 6.0),
+        ],
+    )
+    assert sent(acts) == [3]  # 1 had been sent before it moved, and ends as any other
     made.handle(2.1, [i.Outcome(1, 0, "a", R.OK, 1.1, True), i.Outcome(3, 0, "a", R.OK, 0.1, True)])
     assert made.busy == 0 and not made.out
     for at in range(3, 80):
@@ -239,11 +330,11 @@
 
 def test_a_full_store_gives_up_a_newcomer_and_not_early_what_a_restart_found_untried():
     dear, usual = i.MessageClass(i.Effect.SAFE, 1.0, 6.0, worth=9.0), i.MessageClass(i.Effect.SAFE, 1.0, 6.0)
-    made = Relay(settings(dear, usual, max_open=4), 1)   # no list has come yet
+    made = Relay(settings(dear, usual, max_open=4), 1)  # no list has come yet
     assert not over(made.handle(1.0, [i.Message(mid, 1, 1, 3.0, orphaned=True) for mid in (1, 2, 3)]))
     assert over(made.handle(1.1, [i.Message(4, 1, 1, 6.0)])) == [4]
-    assert over(made.handle(1.1, [i.Message(5, 0, 1, 6.0)])) == [5]   # whatever it is worth
-    assert over(made.handle(2.3, [i.Message(6, 1, 1, 6.0)])) == [3]   # seven tenths of its time are over
+    assert over(made.handle(1.1, [i.Message(5, 0, 1, 6.0)])) == [5]  # whatever it is worth
+    assert over(made.handle(2.3, [i.Message(6, 1, 1, 6.0)])) == [3]  # seven tenths of its time are over
 
 
 def test_a_store_that_was_made_smaller_still_keeps_what_a_restart_found_untried():
@@ -256,8 +347,9 @@
 
 @pytest.mark.parametrize("effect", list(i.Effect))
 @pytest.mark.parametrize("deadline, aim", [(1.0, 0.5), (1.0, 1.0), (6.0, 0.8), (20.0, 2.0), (60.0, 30.0)])
-def test_what_a_restart_found_untried_is_tried_once_a_list_comes_or_kept_until_a_call_no_longer_fits(effect, deadline,
-                                                                                                     aim):
+def test_what_a_restart_found_untried_is_tried_once_a_list_comes_or_kept_until_a_call_no_longer_fits(
+    effect, deadline, aim
+):
     cls = i.MessageClass(effect, aim, deadline, window=0.0)
     held = [i.Message(mid, 0, 1, deadline / 2, orphaned=True, attempts=mid % 2) for mid in (1, 2)]
     made = Relay(settings(cls, slots=8), 1)
--- a/tests/test_shared_calls.py
+++ b/tests/test_shared_calls.py
@@ -7,8 +7,10 @@
 
 
 def rig(batch=10, effect=i.Effect.KEYED, **more):
-    classes = [i.MessageClass(effect, aim=2.0, deadline=20.0, late_share=0.4, window=15.0),
-               i.MessageClass(i.Effect.UNSAFE, aim=2.0, deadline=20.0, worth=3.0)]
+    classes = [
+        i.MessageClass(effect, aim=2.0, deadline=20.0, late_share=0.4, window=15.0),
+        i.MessageClass(i.Effect.UNSAFE, aim=2.0, deadline=20.0, worth=3.0),
+    ]
     return Rig(**{"classes": classes, "kinds": [i.DestinationKind(batch=batch)], "slots": 4, **more})
 
 
@@ -17,8 +19,7 @@
 
 
 def over(r, sent, result, **more):
-    return r.step(0.1, *[i.Outcome(s.id, r.attempts[s.id], s.host, result, 0.1, result is R.OK, **more)
-                         for s in sent])
+    return r.step(0.1, *[i.Outcome(s.id, r.attempts[s.id], s.host, result, 0.1, result is R.OK, **more) for s in sent])
 
 
 def test_a_clump_takes_one_slot_and_one_token_for_each_call():
@@ -31,7 +32,7 @@
 
 def test_where_the_kind_shares_no_calls_each_message_takes_a_slot():
     r = rig(batch=1)
-    assert len(clump(r, 25)) == r.relay.busy == 3   # of four slots the share alone
+    assert len(clump(r, 25)) == r.relay.busy == 3  # of four slots the share alone
 
 
 def test_a_slot_is_free_only_when_all_of_its_call_have_their_outcomes():
@@ -59,7 +60,7 @@
     over(r, clump(r, 6), R.OK)
     over(r, clump(r, 1, first=20), R.RESET)
     sent = {s.id: s.timeout for s in clump(r, 4, cls=lambda n: n % 2, first=30)}
-    assert len(sent) == 4 and r.relay.busy == 2   # and the second try of message 20
+    assert len(sent) == 4 and r.relay.busy == 2  # and the second try of message 20
     assert sent[31] == sent[33] == pytest.approx(20.0) and sent[30] < 20.0
 
 
@@ -87,7 +88,7 @@
     r = rig()
     sent = clump(r, 2)
     over(r, sent[:1], R.FULL, wait=1.0)
-    over(r, sent[1:], R.FULL, wait=1.0)   # a batch later: its wait ends later
+    over(r, sent[1:], R.FULL, wait=1.0)  # a batch later: its wait ends later
     told_until = r.now + 1.0
     while r.now < 120 and not of(i.Send, r.step(0.01)):
         pass
--- a/tests/test_spoilt_journal.py
+++ b/tests/test_spoilt_journal.py
@@ -27,7 +27,7 @@
     flipped(tmp_path / "journal", before + 20)
     found = Journal(tmp_path, 1_000_000).kept
     assert found["aa01"].doubt
-    assert last or not found["aa02"].doubt   # taken on behind it
+    assert last or not found["aa02"].doubt  # taken on behind it
 
 
 def test_a_client_s_body_is_not_read_as_records(tmp_path):
@@ -38,5 +38,5 @@
     journal = Journal(tmp_path, 1_000_000)
     assert journal.take(kept("aa01", body)) and journal.take(kept("aa02"))
     journal.close()
-    flipped(tmp_path / "journal", 20)   # in the head of the first
+    flipped(tmp_path / "journal", 20)  # in the head of the first
     assert list(Journal(tmp_path, 1_000_000).kept) == ["aa02"]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -22,7 +22,7 @@
     def _watched(self, line):
         self.asked.release()
         if not self.up.is_set():
-            return False   # this ask stays silent for ever, also when discovery is back
+            return False  # this ask stays silent for ever, also when discovery is back
         self.told(line)
         return False
 
@@ -39,7 +39,7 @@
     client = program.client()
     for n in range(4):
         assert client.enqueue(f"aa0{n}", d=6000) == "+OK"
-    line, _ = old.take()   # the calls are out, none is answered
+    line, _ = old.take()  # the calls are out, none is answered
     agent.rows = [old.row("draining"), fresh.row()]
     program.kill()
     while not old.quiet(0.05):
@@ -55,7 +55,7 @@
     agent = Agent([server.row()])
     agent.up.clear()
     start([server], discovery=agent)
-    for _ in range(2):   # the second ask is out, and nobody will ever answer it
+    for _ in range(2):  # the second ask is out, and nobody will ever answer it
         assert agent.asked.acquire(timeout=PATIENCE)
     agent.up.set()
     back = time.monotonic()
@@ -68,7 +68,7 @@
     server = Backend("s1")
     program = start([server], limits__max_open=200)
     used, fresh, half, last = (program.client() for _ in range(4))
-    assert used.enqueue("aa00", "order", 16000) == "+OK"   # its call is out until the end: the process stays
+    assert used.enqueue("aa00", "order", 16000) == "+OK"  # its call is out until the end: the process stays
     line, _ = server.take()
     assert fresh.ask("PING") == "+PONG" and last.enqueue("aa01") == "+OK"
     half.sock.sendall(b"*5\r\n$7\r\nENQ")
@@ -85,7 +85,7 @@
                 open_ones.remove(client)
             elif (said := sent(client, f"bb{len(heard):04}")) is None:
                 open_ones.remove(client)
-                crossed += 1   # closed between requests, just before this one could be read
+                crossed += 1  # closed between requests, just before this one could be read
             else:
                 heard.append(said)
     assert len(heard) >= 3 and all(said == "+OK" or said.startswith("-BUSY") for said in heard)
--- a/tests/test_stories_clients.py
+++ b/tests/test_stories_clients.py
@@ -14,15 +14,26 @@
 PAIRS = "c=preview,d=6000,dest=1"
 
 
-@pytest.mark.parametrize("words", [
-    ["ENQUEUE"], ["ENQUEUE", "0", "aa", PAIRS], ["ENQUEUE", "0", "a b", PAIRS, "x"],
-    ["ENQUEUE", "0", "aa", "c=other,d=1,dest=1", "x"], ["ENQUEUE", "0", "aa", "c=preview,d=1,dest=99", "x"],
-    ["ENQUEUE", "0", "aa", "c=preview,d=-1,dest=1", "x"], ["ENQUEUE", "0", "aa", "c=preview,dest=1", "x"],
-    ["ENQUEUE", "0", "aa", "c=preview,d=9e9,dest=1", "x"],
-    ["ENQUEUE", "0", "aa", "c=preview,d=99999999,dest=1", "x"],
-    ["ENQUEUE", "0", "aa", PAIRS + ",dest=1", "x"], ["ENQUEUE", "0", "aa", "nonsense", "x"],
-    ["ENQUEUE", "0", "aa", PAIRS, b"x" * 70000],
-    ["ENQUEUE", "0\r\nX: 1", "aa", PAIRS, "x"], ["FLUSHALL"], [""]])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ["ENQUEUE"],
+        ["ENQUEUE", "0", "aa", PAIRS],
+        ["ENQUEUE", "0", "a b", PAIRS, "x"],
+        ["ENQUEUE", "0", "aa", "c=other,d=1,dest=1", "x"],
+        ["ENQUEUE", "0", "aa", "c=preview,d=1,dest=99", "x"],
+        ["ENQUEUE", "0", "aa", "c=preview,d=-1,dest=1", "x"],
+        ["ENQUEUE", "0", "aa", "c=preview,dest=1", "x"],
+        ["ENQUEUE", "0", "aa", "c=preview,d=9e9,dest=1", "x"],
+        ["ENQUEUE", "0", "aa", "c=preview,d=99999999,dest=1", "x"],
+        ["ENQUEUE", "0", "aa", PAIRS + ",dest=1", "x"],
+        ["ENQUEUE", "0", "aa", "nonsense", "x"],
+        ["ENQUEUE", "0", "aa", PAIRS, b"x" * 70000],
+        ["ENQUEUE", "0\r\nX: 1", "aa", PAIRS, "x"],
+        ["FLUSHALL"],
+        [""],
+    ],
+)
 def test_malformed_commands_get_an_error_and_the_connection_goes_on(start, words):
     program = start([Backend("s1")])
     client = program.client()
@@ -30,8 +41,10 @@
     settled(client)
 
 
-@pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"*x\r\n", b"*1\r\n$-5\r\n", b"*99999999\r\n",
-                                  b"*1\r\n$4\r\nPINGxx", b"*" + b"1" * 99])
+@pytest.mark.parametrize(
+    "data",
+    [b"GET / HTTP/1.1\r\n\r\n", b"*x\r\n", b"*1\r\n$-5\r\n", b"*99999999\r\n", b"*1\r\n$4\r\nPINGxx", b"*" + b"1" * 99],
+)
 def test_what_is_no_command_gets_an_error_and_ends_only_its_connection(start, data):
     program = start([Backend("s1")])
     client = program.client()
@@ -44,7 +57,7 @@
     program = start([Backend("s1")])
     client = program.client()
     client.sock.setblocking(False)
-    with pytest.raises((BlockingIOError, ConnectionError)):   # until neither side takes more
+    with pytest.raises((BlockingIOError, ConnectionError)):  # until neither side takes more
         while True:
             client.sock.send(b"*1\r\n$4\r\nPING\r\n" * 1000)
     settled(program.client())
@@ -56,7 +69,7 @@
     silent, half, trickle = (program.client() for _ in range(3))
     half.sock.sendall(b"*5\r\n$7\r\nENQ")
     trickle.sock.sendall(b"*5\r\n$70000\r\n")
-    assert trickle.heard().startswith("-ERR ")   # at once, and before it is sent
+    assert trickle.heard().startswith("-ERR ")  # at once, and before it is sent
     with pytest.raises(ConnectionError):
         while time.monotonic() < began + 3:
             trickle.sock.sendall(b"x")
@@ -69,8 +82,7 @@
     server = Backend("s1")
     program = start([server])
     client = program.client()
-    words = (b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\naa%02d\r\n$23\r\nc=preview,d=6000,dest=1\r\n"
-             b"$1\r\nx\r\n")
+    words = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\naa%02d\r\n$23\r\nc=preview,d=6000,dest=1\r\n" b"$1\r\nx\r\n"
     client.sock.sendall(b"".join(words % n for n in range(20)))
     assert client.heard().startswith("-ERR Protocol error") and client.heard() == ""
     late = program.client()
@@ -95,12 +107,12 @@
     program = start([server])
     client, foreign = program.client(), program.client()
     assert client.enqueue("aa01", "order", 16000) == "+OK"
-    assert foreign.enqueue("aa01", "preview", 100, body=b"other") == "+OK"   # it is on record, once
+    assert foreign.enqueue("aa01", "preview", 100, body=b"other") == "+OK"  # it is on record, once
     line, (_, _, body) = server.take()
     assert body == b"hello"
     line.answer(200)
     settled(client)
-    assert foreign.enqueue("aa01", "preview", body=b"other") == "+OK"   # over, but lately
+    assert foreign.enqueue("aa01", "preview", body=b"other") == "+OK"  # over, but lately
     assert client.enqueue("aa02", "preview") == "+OK"
     assert line.call()[1]["x-trace-id"] == "aa02" and server.quiet()
     assert program.discovery.notices.empty()
@@ -122,18 +134,18 @@
 def test_clients_that_ask_once_on_each_connection_get_their_places_back(start):
     """Clients bound their own connections; what lies idle here after one message keeps them from the next."""
     server = Backend("s1")
-    program = start([server], limits={"sockets": 96})   # clients hold at most 32; 8 may lie idle
+    program = start([server], limits={"sockets": 96})  # clients hold at most 32; 8 may lie idle
     kept = []
     for n in range(24):
         client = program.client()
         assert client.enqueue(f"aa{n:02}") == "+OK"
         kept.append(client)
-    for n in range(40):   # its next messages, by which the others have rested
+    for n in range(40):  # its next messages, by which the others have rested
         assert kept[-1].enqueue(f"ab{n:02}") == "+OK"
         if at_end(kept[15]):
             break
     ended = [c for c in kept if at_end(c)]
-    assert ended == kept[:16]   # the longest idle, and no other
+    assert ended == kept[:16]  # the longest idle, and no other
 
 
 def at_end(client):
@@ -148,14 +160,14 @@
 
 def test_connections_without_a_message_make_room_before_a_usual_clients_idle_one(start):
     server = Backend("s1")
-    program = start([server], limits={"sockets": 64, "memory_mb": 32})   # 21 usual, and 5 more
+    program = start([server], limits={"sockets": 64, "memory_mb": 32})  # 21 usual, and 5 more
     usual = [program.client() for _ in range(4)]
     for n, client in enumerate(usual):
         assert client.enqueue(f"aa0{n}") == "+OK"
-    for n in range(60):   # each errs or says PING, and is idle after it, younger than the usual ones
+    for n in range(60):  # each errs or says PING, and is idle after it, younger than the usual ones
         other = program.client()
         assert other.ask("PING") == "+PONG" if n % 2 else other.ask("NONSENSE").startswith("-ERR")
-        usual.append(other)   # kept open by this side
+        usual.append(other)  # kept open by this side
     for n, client in enumerate(usual[:4]):
         assert client.enqueue(f"ab0{n}") == "+OK"
 
@@ -164,12 +176,11 @@
     server = Backend("s1")
     program = start([server])
     client = program.client()
-    words = (b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\naa%02d\r\n$23\r\nc=preview,d=6000,dest=1\r\n"
-             b"$1\r\nx\r\n")
+    words = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\naa%02d\r\n$23\r\nc=preview,d=6000,dest=1\r\n" b"$1\r\nx\r\n"
     client.sock.sendall(b"".join(words % n for n in range(3)) + b"*1\r\n$4\r\nPING\r\n")
     assert [client.heard() for _ in range(4)] == ["+OK", "+OK", "+OK", "+PONG"]
     client.sock.sendall(words % 3)
-    client.sock.sendall(words % 4)   # apart, and before the first has its answer
+    client.sock.sendall(words % 4)  # apart, and before the first has its answer
     assert [client.heard() for _ in range(2)] == ["+OK", "+OK"]
     names = set()
     while len(names) < 5:
@@ -184,15 +195,14 @@
     server = Backend("s1")
     program = start([server])
     client = program.client()
-    words = (b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\naa%02d\r\n$23\r\nc=preview,d=6000,dest=1\r\n"
-             b"$1\r\nx\r\n")
+    words = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$4\r\naa%02d\r\n$23\r\nc=preview,d=6000,dest=1\r\n" b"$1\r\nx\r\n"
     client.sock.sendall(words % 1 + words % 2)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    client.sock.close()   # a reset
+    client.sock.close()  # a reset
     settled(program.client())
     settled(program.client())
     program.kill()
-    assert len(owed(program)) <= 1   # what was answered before the reset came
+    assert len(owed(program)) <= 1  # what was answered before the reset came
 
 
 def test_a_flood_is_refused_while_known_clients_come_and_go_also_after_a_kill(start):
--- a/tests/test_stories_connections.py
+++ b/tests/test_stories_connections.py
@@ -53,7 +53,7 @@
     for line in lines.values():
         line.answer(200)
         settled(client)
-    assert client.enqueue("aa03", "order") == "+OK"   # over the freshest of the two
+    assert client.enqueue("aa03", "order") == "+OK"  # over the freshest of the two
     assert lines["aa02"].call()[1]["x-trace-id"] == "aa03"
     lines["aa02"].close()
     begun = time.monotonic()
@@ -79,9 +79,10 @@
         while True:
             try:
                 line = server.line()
-            except OSError:   # the end of the story
+            except OSError:  # the end of the story
                 return
             threading.Thread(target=serve, args=(line,), daemon=True).start()
+
     threading.Thread(target=accept, daemon=True).start()
     return served, reset
 
@@ -99,7 +100,8 @@
         while name not in served and name not in reset[-1:]:
             assert time.monotonic() < until
             settled(client)
-    for n in range(8):   # previews go again; by them it is learned
+
+    for n in range(8):  # previews go again; by them it is learned
         done(f"aa{n:02}", "preview")
     for n in range(5):
         done(f"bb{n:02}", "order")
@@ -123,13 +125,16 @@
     assert program.wait() == 0
     file = program.state / "connections.json"
     done = CliRunner().invoke(cli, ["connections", str(file), "--json"])
-    row, = json.loads(done.output)["servers"]
+    (row,) = json.loads(done.output)["servers"]
     assert (row["server"], row["opened"], row["reused"], row["reset_at_first_byte"]) == ("s1", 1, 2, 0)
     assert row["call_s"] >= 0 and row["cap"] is None and not row["slow"]
     shown = CliRunner().invoke(cli, ["connections", str(file), "--server", "s1"])
     assert shown.exit_code == 0 and "s1" in shown.output and "handshake" in shown.output
-    for words, named in (([str(file), "--server", "s2"], "no server s2"), ([str(program.config)], "no state"),
-                         ([str(file) + "x"], "No such file")):
+    for words, named in (
+        ([str(file), "--server", "s2"], "no server s2"),
+        ([str(program.config)], "no state"),
+        ([str(file) + "x"], "No such file"),
+    ):
         wrong = CliRunner().invoke(cli, ["connections", *words])
         assert wrong.exit_code == 2 and named in wrong.output and "Traceback" not in wrong.output
 
--- a/tests/test_stories_descriptors.py
+++ b/tests/test_stories_descriptors.py
@@ -37,7 +37,7 @@
     client = program.client()
     settled(client)
     give_back = leave_no_descriptor(program)
-    assert client.enqueue("aa01", "order", d=9000) == "+OK"   # its call finds no descriptor
+    assert client.enqueue("aa01", "order", d=9000) == "+OK"  # its call finds no descriptor
     refused, began = 0, time.monotonic()
     for _ in range(20):
         late = program.client()
@@ -48,7 +48,7 @@
         except ConnectionError:
             refused += 1
     assert refused == 20
-    assert server.quiet(0.4) and cpu(program) < 0.5 + 0.5 * (time.monotonic() - began)   # its start, and no spin
+    assert server.quiet(0.4) and cpu(program) < 0.5 + 0.5 * (time.monotonic() - began)  # its start, and no spin
     give_back()
     line, call = server.take()
     assert call[1]["x-trace-id"] == "aa01"
@@ -64,7 +64,7 @@
     _, line = program.discovery.watches.get(timeout=PATIENCE)
     client = program.client()
     settled(client)
-    give_back = leave_no_descriptor(program, 0)   # not even by one that was given back
+    give_back = leave_no_descriptor(program, 0)  # not even by one that was given back
     line.sock.shutdown(socket.SHUT_RDWR)
     program.logged("Too many open files")
     give_back()
@@ -81,6 +81,7 @@
         if str(path).endswith("journal"):
             raise OSError(errno.ENFILE, "too many in the system")
         return plain(path, *more)
+
     monkeypatch.setattr(os, "open", without)
     journal.take(Kept("owed", "0" * 16, "order", 1, time.time() + 60, b"x" * 100))
     for n in range(500):
@@ -98,7 +99,7 @@
     highest = max(int(fd) for fd in os.listdir("/proc/self/fd"))
     resource.setrlimit(resource.RLIMIT_NOFILE, (0, before[1]))
     try:
-        for n in range(2000):   # far beyond one file; where it is full, messages are denied
+        for n in range(2000):  # far beyond one file; where it is full, messages are denied
             if journal.take(Kept(f"m{n}", "0" * 16, "order", 1, time.time() + 60, b"x" * 500)):
                 journal.end(f"m{n}")
         assert "owed" in journal.kept and highest > 0
--- a/tests/test_stories_discovery.py
+++ b/tests/test_stories_discovery.py
@@ -15,7 +15,7 @@
     assert client.enqueue("aa01", "order", 16000) == "+OK"
     server.take()[0].close()
     assert program.discovery.notices.get(timeout=PATIENCE)[0] is None
-    program.kill()   # nor does a kill lose it
+    program.kill()  # nor does a kill lose it
     assert owed(program)["aa01"].notice == {"id": "aa01", "status": "undeliverable"}
     program.discovery.reply = 204
     program.start()
@@ -35,7 +35,7 @@
     assert client.enqueue("aa01") == "+OK"
     line, _ = new.take()
     line.answer(200)
-    first, _ = program.discovery.watch()   # no empty lines come, so that the first is given up
+    first, _ = program.discovery.watch()  # no empty lines come, so that the first is given up
     assert "from=9" in first and old.quiet(0.01)
 
 
@@ -48,15 +48,14 @@
     server.take()[0].answer(200)
 
 
-@pytest.mark.parametrize("line", [
-    b"{}", b"[]", b"\xff", b'{"seq":null,"hosts":[]}', b'{"seq":8,"hosts":[3,{}]}'])
+@pytest.mark.parametrize("line", [b"{}", b"[]", b"\xff", b'{"seq":null,"hosts":[]}', b'{"seq":8,"hosts":[3,{}]}'])
 def test_bad_news_is_passed_over(start, line):
     server = Backend("s1")
     program = start([server])
     line_of = program.discovery.watches.get(timeout=PATIENCE)[1]
     line_of.sock.sendall(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
     if b"{}]" not in line:
-        assert program.discovery.watch()   # opened again
+        assert program.discovery.watch()  # opened again
     assert program.client().enqueue("aa01") == "+OK"
     server.take()[0].answer(200)
 
@@ -65,7 +64,7 @@
     server, fresh, other = Backend("s1"), Backend("s2"), Discovery()
     program = start([server])
     old = program.discovery
-    old.reply = None   # takes a notice and never confirms it
+    old.reply = None  # takes a notice and never confirms it
     first, tell = old.watch()
     tell(9, [fresh.row()])
     client = program.client()
@@ -77,7 +76,7 @@
     assert "from=9" in first
     assert other.notice() == {"id": "aa01", "status": "undeliverable"}
     tell(10, [server.row("gone")])
-    program.reload(discovery=other.dial)   # once more, and nothing to change
+    program.reload(discovery=other.dial)  # once more, and nothing to change
     assert client.enqueue("aa02") == "+OK"
     fresh.take()[0].answer(200)
     settled(client)
@@ -85,14 +84,22 @@
     program.terminate()
     program.process.send_signal(signal.SIGHUP)
     assert program.wait() == 0
-    program.start()   # a restart reads the new file
+    program.start()  # a restart reads the new file
     assert other.watch() and old.watches.empty()
 
 
-@pytest.mark.parametrize("text, key", [
-    ('{"name": "n0", "lis', "RELAY_CONFIG"), ("[]", "the configuration must be"), ("[" * 5000, "the old"),
-    ('{"name": "", "listen": "a:1", "discovery": "a:1", "seed": "1", "settings": {}}',
-     "settings.limits is missing")])
+@pytest.mark.parametrize(
+    "text, key",
+    [
+        ('{"name": "n0", "lis', "RELAY_CONFIG"),
+        ("[]", "the configuration must be"),
+        ("[" * 5000, "the old"),
+        (
+            '{"name": "", "listen": "a:1", "discovery": "a:1", "seed": "1", "settings": {}}',
+            "settings.limits is missing",
+        ),
+    ],
+)
 def test_a_file_that_cannot_be_read_on_sighup_leaves_the_old_configuration(start, text, key):
     server = Backend("s1")
     program = start([server])
@@ -136,7 +143,7 @@
     assert call[1]["x-trace-id"].startswith("ab")
     line.answer(200)
     assert program.client().enqueue("ac01", dest=30_999, d=600).startswith(("+OK", "-BUSY"))
-    assert server.quiet(0.3)   # it drains: nothing new goes there
+    assert server.quiet(0.3)  # it drains: nothing new goes there
 
 
 def test_a_list_beyond_the_memory_is_refused_and_the_one_in_force_stays(start):
--- a/tests/test_stories_restarts.py
+++ b/tests/test_stories_restarts.py
@@ -59,14 +59,14 @@
     assert client.enqueue("aa01", "order", 16000) == "+OK"
     line, _ = server.take()
     program.terminate()
-    fresh = program.client()   # new connections still come for a while
+    fresh = program.client()  # new connections still come for a while
     assert fresh.enqueue("aa02") == "+OK"
     second, _ = server.take()
-    assert fresh.heard() == "" and client.heard() == ""   # both are closed between requests
+    assert fresh.heard() == "" and client.heard() == ""  # both are closed between requests
     line.answer(200)
     second.answer(200)
     begun = time.monotonic()
-    assert program.wait() == 0 and time.monotonic() - begun < 2   # nothing is left to wait for
+    assert program.wait() == 0 and time.monotonic() - begun < 2  # nothing is left to wait for
     assert not owed(program) and program.discovery.notices.empty()
 
 
@@ -95,7 +95,7 @@
         assert client.enqueue(name, "order", 16000) == "+OK"
     line, _ = server.take()
     program.terminate()
-    assert server.quiet(2.2)   # the only slot stays taken until it is too late for the second
+    assert server.quiet(2.2)  # the only slot stays taken until it is too late for the second
     line.answer(200)
     assert program.wait() == 0
     assert line.call() is None and set(owed(program)) == {"aa02"}
@@ -143,9 +143,9 @@
     lines["aa00"].answer(200)
     lines["aa01"].answer(500)
     assert program.discovery.notice()["id"] == "aa01"
-    while '"confirmed"' not in file.read_text():   # what a kill cuts off a record is its last 20 ms
+    while '"confirmed"' not in file.read_text():  # what a kill cuts off a record is its last 20 ms
         settled(client)
-    program.kill()            # aa02 is out: it may have run, and may not be repeated
+    program.kill()  # aa02 is out: it may have run, and may not be repeated
     program.start()
     assert program.discovery.notice() == {"id": "aa02", "status": "undeliverable"}
     assert program.client().enqueue("aa03") == "+OK"
@@ -163,19 +163,33 @@
     assert "restored" in told and "over" in told
 
 
-@pytest.mark.parametrize("told, named", [
-    ({"on": True, "most_mb": -1}, "$.most_mb"), ({"on": True, "file": "r", "most_mb": 9}, "most_mb must be at most"),
-    ({"on": "yes"}, "on must be"), ({"on": True, "file": "/nowhere/r"}, "/nowhere/r")])
+@pytest.mark.parametrize(
+    "told, named",
+    [
+        ({"on": True, "most_mb": -1}, "$.most_mb"),
+        ({"on": True, "file": "r", "most_mb": 9}, "most_mb must be at most"),
+        ({"on": "yes"}, "on must be"),
+        ({"on": True, "file": "/nowhere/r"}, "/nowhere/r"),
+    ],
+)
 def test_a_wrong_records_file_ends_the_start_and_names_the_key(tmp_path, told, named):
     deploy = tmp_path / "deploy"
     deploy.mkdir()
     (deploy / "records.json").write_text(json.dumps(told))
     config = tmp_path / "config.json"
-    config.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1",
-                                  "settings": settings()}))
-    done = subprocess.run([sys.executable, "-m", "linkdock"], cwd=ROOT, capture_output=True, text=True, timeout=20,
-                          env={**os.environ, "RELAY_CONFIG": str(config), "RELAY_STATE": str(tmp_path),
-                               "LINKDOCK_DEPLOY": str(deploy)})
+    config.write_text(
+        json.dumps(
+            {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1", "settings": settings()}
+        )
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "linkdock"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env={**os.environ, "RELAY_CONFIG": str(config), "RELAY_STATE": str(tmp_path), "LINKDOCK_DEPLOY": str(deploy)},
+    )
     assert done.returncode == 2 and named in done.stderr and done.stderr.count("\n") == 1
 
 
@@ -207,9 +221,15 @@
     assert call[1]["x-trace-id"] == "aa02"
 
 
-@pytest.mark.parametrize("damage, why", [
-    (lambda data: data[:-3], "torn"), (lambda data: b"another's file" + data, "no snapshot of ours"),
-    (lambda data: b"", "torn"), (lambda data: data * 40_000, "longer than snapshot_mb")])
+@pytest.mark.parametrize(
+    "damage, why",
+    [
+        (lambda data: data[:-3], "torn"),
+        (lambda data: b"another's file" + data, "no snapshot of ours"),
+        (lambda data: b"", "torn"),
+        (lambda data: data * 40_000, "longer than snapshot_mb"),
+    ],
+)
 def test_a_snapshot_that_cannot_be_used_is_refused_in_one_line(start, tmp_path, damage, why):
     program, server = learned(start, tmp_path)
     program.kill()
--- a/tests/test_stories_undeliverable.py
+++ b/tests/test_stories_undeliverable.py
@@ -110,18 +110,32 @@
     settled(client)
     program.kill()
     with Store(program.state / "undeliverable.db", write=True) as store:
-        store.keep([StoredMessage(id="bb01", key="0" * 16, cls="order", destination=1, body=b"x", until=1.0,
-                                  ended=time.time(), cause="undeliverable", repeatable=False, attempts=[])])
+        store.keep(
+            [
+                StoredMessage(
+                    id="bb01",
+                    key="0" * 16,
+                    cls="order",
+                    destination=1,
+                    body=b"x",
+                    until=1.0,
+                    ended=time.time(),
+                    cause="undeliverable",
+                    repeatable=False,
+                    attempts=[],
+                )
+            ]
+        )
         store.ask("b", "a", [m for m, _ in store.find(Filter())])
         if not sent:
-            store.claim(9, {}, 9)   # and killed before the journal had it
+            store.claim(9, {}, 9)  # and killed before the journal had it
     program.start()
     line, call = server.take()
     while call[1]["x-trace-id"] != "bb01":
         line.answer(200)
         line, call = server.take()
     if sent:
-        program.kill()   # it may have run
+        program.kill()  # it may have run
         program.start()
         row = until_state(program, "bb01", "kept")
         assert row["in doubt"] and server.quiet(1.2)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -36,7 +36,7 @@
     one.close()
     alive, (left,) = two.look()
     assert alive == [] and left.number == 1 and left.journal == tmp_path / "journal.1"
-    assert Succession(tmp_path).look()[1] == []   # whoever has the lock first takes it up, nobody else
+    assert Succession(tmp_path).look()[1] == []  # whoever has the lock first takes it up, nobody else
     left.keep()
     two.look()[1][0].done()
     assert 1 not in numbered(tmp_path)
@@ -49,9 +49,9 @@
     first.journal.sent("b", 0)
     first.journal.end("c")
     second = shift(tmp_path)
-    assert not second.journal.kept   # the first one lives
+    assert not second.journal.kept  # the first one lives
     first.close()
-    third = shift(tmp_path)   # the second lives and has not looked
+    third = shift(tmp_path)  # the second lives and has not looked
     assert set(third.journal.kept) == {"a", "b"} and third.journal.kept["b"].doubt == {0}
     assert owed(tmp_path / "journal.1") == {} and numbered(tmp_path) == [2, 3]
     third.journal.end("a")
@@ -123,14 +123,14 @@
     alive, left = new._succession.look()
     assert alive == [1] and set(owed(left[0].journal)) == {"a"} == {k.id for k in new._take_up(left)}
     old.journal.end("b")
-    old.look()   # it would find its own
+    old.look()  # it would find its own
     old.close()
     again = new._succession.look()[1]
     assert [owed(one.journal) for one in again] == [{}]
     (tmp_path / "full").mkdir()
     full = shift(tmp_path / "full")
     full.journal.take(kept("c"))
-    full.journal._append = lambda data: False   # no room for the record: all stays
+    full.journal._append = lambda data: False  # no room for the record: all stays
     assert not full.hand_over(["c"]) and set(full.journal.kept) == {"c"}
     full.close()
 
@@ -142,7 +142,7 @@
     for name in ("a", "b"):
         old.journal.take(kept(name))
     assert old.hand_over(["a"])
-    append, old.journal._append = old.journal._append, lambda data: False   # no room for its record
+    append, old.journal._append = old.journal._append, lambda data: False  # no room for its record
     assert not old.hand_over(["b"]) and set(old.journal.kept) == {"b"}
     old.journal._append = append
     old.look()
@@ -173,7 +173,7 @@
         board.put(fact)
     board.figures(notes.Figures(3, 4, notes.TAKING))
     assert reader.news() == facts and reader.news() == [] and reader.figures == (3, 4, notes.TAKING)
-    for n in range(2 * PLACES):   # waits push out waits, not what is known of health
+    for n in range(2 * PLACES):  # waits push out waits, not what is known of health
         board.put(Fact(notes.WAITS, float(n), n, "x" * 200 if n % 2 else "é"))
     late = Reader(tmp_path / "board.1").news()
     assert facts[1] in late and len(late) == PLACES + 1 and late[0].name == "é"
@@ -191,10 +191,14 @@
     heard = [[] for _ in processes]
     for process, doubted in zip(processes, heard, strict=True):
         table = ServerTable([False])
-        process.join(SimpleNamespace(calls_out=lambda: 0, open=lambda: 0, doubted=doubted.append,
-                                     hold_at_most=lambda most: None),
-                     SimpleNamespace(hold_slots=lambda slots: None, learned=lambda most: [], told=lambda rows: None),
-                     table, None)
+        process.join(
+            SimpleNamespace(
+                calls_out=lambda: 0, open=lambda: 0, doubted=doubted.append, hold_at_most=lambda most: None
+            ),
+            SimpleNamespace(hold_slots=lambda slots: None, learned=lambda most: [], told=lambda rows: None),
+            table,
+            None,
+        )
     for process in processes:
         process.look()
     processes[0].health("s-1", "suspect")
@@ -202,7 +206,7 @@
     for _ in range(4):
         for process in processes:
             process.beat()
-    assert [len(told) for told in heard] == [0, 1, 2]   # the third from the first, and from the second
+    assert [len(told) for told in heard] == [0, 1, 2]  # the third from the first, and from the second
     assert [process._table._waits for process in processes] == [{(7,): 9.0}] * 3
     assert sum(process._board._written[notes.HEALTH] for process in processes) <= 4
     for process in processes:
@@ -210,9 +214,21 @@
 
 
 def one_with_a_server(now):
-    decisions = facade.Facade(i.Settings(
-        classes=[i.MessageClass(i.Effect.SAFE, 0.8, 6.0)], kinds=[i.DestinationKind()], slots=8, max_open=50,
-        max_attempts=9, fall_multiple=1.5, tip_after=2.0, cold_share=0.3, cold_time=12.0, told_weights=False), 1)
+    decisions = facade.Facade(
+        i.Settings(
+            classes=[i.MessageClass(i.Effect.SAFE, 0.8, 6.0)],
+            kinds=[i.DestinationKind()],
+            slots=8,
+            max_open=50,
+            max_attempts=9,
+            fall_multiple=1.5,
+            tip_after=2.0,
+            cold_share=0.3,
+            cold_time=12.0,
+            told_weights=False,
+        ),
+        1,
+    )
     decisions.report(facade.Table("whole", [facade.Server("s1", ("127.0.0.1", 1), 7)], 1))
     decisions.tick(now)
     return decisions
@@ -246,7 +262,7 @@
     new.told([learned._replace(ramp=99.0, since=90.0), learned._replace(server="s9")])
     assert new.learned(9) == [learned._replace(ramp=99.0, since=90.0, part=1.0)]
     first = sent(new, 100.3, *"bcdefghi")
-    assert len(first) <= 1   # the return goes on: eight at once to one that is not known
+    assert len(first) <= 1  # the return goes on: eight at once to one that is not known
     assert len(sent(one_with_a_server(100.0), 100.3, *"bcdefghi")) >= 2
     item = first[0] if first else sent(new, 104.0)[0]
     new.report(facade.End(item.request, item.attempt, "s1", facade.DELIVERED, 0.1, load=(0.9, 30.0)))
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -2,8 +2,10 @@
 
 from peers import CLASSES, Backend, owed, settled
 
-SHARES = [{"name": "север", "quota-per-s": 0.01, "fraction": 0.5},
-          {"name": "south", "quota-per-s": 0.01, "fraction": 0.5}]
+SHARES = [
+    {"name": "север", "quota-per-s": 0.01, "fraction": 0.5},
+    {"name": "south", "quota-per-s": 0.01, "fraction": 0.5},
+]
 
 
 def hand_in(client, name, tenant, dest=1, cls="order"):
@@ -14,7 +16,7 @@
     server, slow = Backend("s1"), Backend("s2", destination=2)
     program = start([server, slow], extra__calls_out=1, projects=SHARES, over_share_worth=0.01)
     client = program.client()
-    assert hand_in(client, "bb01", "south", dest=2) == "+OK"   # takes the one slot: the others wait
+    assert hand_in(client, "bb01", "south", dest=2) == "+OK"  # takes the one slot: the others wait
     held, _ = slow.take()
     for n in range(4):
         assert hand_in(client, f"aa0{n}", "север") == "+OK"
--- a/tests/test_two_configurations.py
+++ b/tests/test_two_configurations.py
@@ -31,9 +31,16 @@
 
 def told(*grades, weights="silent", discovery="automatic", **more):
     limits = {"max-open": 40, "max-attempts": 6, "cancel": True, "retry-after": True, "max-retry-after": 3.0}
-    whole = {"grades": list(grades), "balancers": 2, "weights": weights, "discovery": discovery, "limits": limits,
-             "extra": {"calls-out": 8}, "report": {"fields": ["x0", "x1"]},
-             "rules": {"fall-multiple": 1.5, "tip-after": 2.0, "cold": 12.0, "cold-share": 0.3}}
+    whole = {
+        "grades": list(grades),
+        "balancers": 2,
+        "weights": weights,
+        "discovery": discovery,
+        "limits": limits,
+        "extra": {"calls-out": 8},
+        "report": {"fields": ["x0", "x1"]},
+        "rules": {"fall-multiple": 1.5, "tip-after": 2.0, "cold": 12.0, "cold-share": 0.3},
+    }
     for key, value in more.items():
         part, _, name = key.partition("__")
         (whole[part] if name else whole)[(name or part).replace("_", "-")] = value
@@ -43,21 +50,41 @@
 SAFE, KEYED, UNSAFE = "read_like", "idempotency_key", "non_idempotent"
 SITES = {
     "waits told, no weights": told(
-        grade(SAFE, 0.8, 6.0, **{"late-share": 0.1}), grade(UNSAFE, 4.0, 16.0, importance=2)),
+        grade(SAFE, 0.8, 6.0, **{"late-share": 0.1}), grade(UNSAFE, 4.0, 16.0, importance=2)
+    ),
     "weights told": told(
-        grade(SAFE, 2.0, 28.0), grade(UNSAFE, 2.0, 20.0), weights="nominal", extra__loses_worth="by_half",
-        limits__retry_after=False, limits__cancel=False, rules__fall_multiple=2.0),
+        grade(SAFE, 2.0, 28.0),
+        grade(UNSAFE, 2.0, 20.0),
+        weights="nominal",
+        extra__loses_worth="by_half",
+        limits__retry_after=False,
+        limits__cancel=False,
+        rules__fall_multiple=2.0,
+    ),
     "in a hurry and narrow": told(
-        grade(SAFE, 0.5, 1.0), extra__calls_out=1, limits__max_open=2, limits__max_attempts=1),
+        grade(SAFE, 0.5, 1.0), extra__calls_out=1, limits__max_open=2, limits__max_attempts=1
+    ),
     "no rule of a return": told(grade(KEYED, 5.0, 60.0, window=0.5), rules={}, balancers=1, report={}),
     "in order, asked for": told(
-        grade(SAFE, 1.0, 8.0, **{"keep-order": True}), grade(KEYED, 1.0, 12.0, window=5, group="zone"),
-        discovery="subscribe", rules__settle_after_doubt=0.4, rules__ask_within=4.0),
+        grade(SAFE, 1.0, 8.0, **{"keep-order": True}),
+        grade(KEYED, 1.0, 12.0, window=5, group="zone"),
+        discovery="subscribe",
+        rules__settle_after_doubt=0.4,
+        rules__ask_within=4.0,
+    ),
     "of everything much": told(
-        *(grade((SAFE, KEYED, UNSAFE)[n % 3], 0.2 + n / 9, 1.0 + n, window=n / 4, importance=1 + n % 4)
-          for n in range(30)), extra__separate_routes=[True, False, True], balancers=200,
-        extra__bundle_max=[1, 10, 3], extra__zone_fee=[0.1 * n for n in range(12)], weights="rough")}
-PAIRS = [(a, b) for n, a in enumerate(SITES) for b in list(SITES)[n + 1:]]
+        *(
+            grade((SAFE, KEYED, UNSAFE)[n % 3], 0.2 + n / 9, 1.0 + n, window=n / 4, importance=1 + n % 4)
+            for n in range(30)
+        ),
+        extra__separate_routes=[True, False, True],
+        balancers=200,
+        extra__bundle_max=[1, 10, 3],
+        extra__zone_fee=[0.1 * n for n in range(12)],
+        weights="rough",
+    ),
+}
+PAIRS = [(a, b) for n, a in enumerate(SITES) for b in list(SITES)[n + 1 :]]
 
 
 class Play:
@@ -67,8 +94,17 @@
         self.told, self.draw, self.seed, self.dies = SITES[site], Random(seed), seed, dies
         self.classes = len(self.told["grades"])
         zones, kinds = len(self.told["extra"].get("zone-fee", [0])), len(self.told["extra"].get("bundle-max", [1]))
-        self.hosts = [i.HostEntry((b"\x0a\0\0" + bytes([n]), 80), n % 3, i.HostState.READY, n % 3 % kinds, n % zones,
-                                  float(self.draw.choice([1, 5, 20]))) for n in range(7)]
+        self.hosts = [
+            i.HostEntry(
+                (b"\x0a\0\0" + bytes([n]), 80),
+                n % 3,
+                i.HostState.READY,
+                n % 3 % kinds,
+                n % zones,
+                float(self.draw.choice([1, 5, 20])),
+            )
+            for n in range(7)
+        ]
         self.out, self.bells, self.tries, self.last, self.did = [], [], {}, 0, []
 
     def events(self, now):
@@ -80,8 +116,15 @@
         for _, mid, attempt, host, sent in due:
             # By the second and the host, so that some fail for a while and return.
             mood = Random(f"{self.seed} {host} {int(now / 3)}").random()
-            result = draw.choice(list(i.Result)) if draw.random() < 0.1 else (
-                i.Result.OK if mood < 0.6 else draw.choice([i.Result.FULL, i.Result.TIMEOUT, i.Result.CONNECT_FAILED]))
+            result = (
+                draw.choice(list(i.Result))
+                if draw.random() < 0.1
+                else (
+                    i.Result.OK
+                    if mood < 0.6
+                    else draw.choice([i.Result.FULL, i.Result.TIMEOUT, i.Result.CONNECT_FAILED])
+                )
+            )
             wait = draw.choice([0.0, 0.5]) if result is i.Result.FULL else 0.0
             report = i.Report(0.5, 8.0) if self.told["report"] and draw.random() < 0.5 else None
             events.append(i.Outcome(mid, attempt, host, result, now - sent, result is i.Result.OK, wait, report))
@@ -91,11 +134,22 @@
             self.last += 1
             cls = draw.randrange(self.classes)
             held, left = draw.random() < 0.1, self.told["grades"][cls]["hard-limit"]
-            events.append(i.Message(self.last, cls, draw.randrange(3), left / 2 if held else left, 0,
-                                    draw.choice([0, 7, 8]), False, held))
+            events.append(
+                i.Message(
+                    self.last,
+                    cls,
+                    draw.randrange(3),
+                    left / 2 if held else left,
+                    0,
+                    draw.choice([0, 7, 8]),
+                    False,
+                    held,
+                )
+            )
         if draw.random() < 0.02:
-            events.append(i.Hosts(i.ListKind.DELTA, [
-                replace(draw.choice(self.hosts), state=draw.choice(list(i.HostState)))]))
+            events.append(
+                i.Hosts(i.ListKind.DELTA, [replace(draw.choice(self.hosts), state=draw.choice(list(i.HostState)))])
+            )
         if draw.random() < 0.01 and self.last:
             events.append(i.Withdrawn(draw.randrange(self.last) + 1))
         return events
@@ -115,14 +169,14 @@
 
 def read(reply, relay):
     """The actions of one instance in a reply, without its number, and the texts that they point to."""
-    count, = struct.unpack_from("<I", reply, 4)
-    records, tail, found = [reply[8 + 24 * n:32 + 24 * n] for n in range(count)], reply[8 + 24 * count:], []
+    (count,) = struct.unpack_from("<I", reply, 4)
+    records, tail, found = [reply[8 + 24 * n : 32 + 24 * n] for n in range(count)], reply[8 + 24 * count :], []
     for record in records:
         if struct.unpack_from("<I", record, 1)[0] == relay:
             text = b""
             if record[0] in (72, 73):
                 at, size = struct.unpack_from("<II", record, 5)
-                record, text = record[:5], tail[at:at + size]
+                record, text = record[:5], tail[at : at + size]
             assert record[0] != 73, text
             found.append((record[:1] + record[5:], text))
     return found
@@ -134,20 +188,50 @@
     for e in events:
         match e:
             case i.Hosts(how, entries, version):
-                rows = b"".join(struct.pack("<4sHBBHBfd", *h.host, h.zone, h.kind, h.destination, {
-                    state: code for code, state in wire.STATES.items()}[h.state], h.weight, 0.0) for h in entries)
+                rows = b"".join(
+                    struct.pack(
+                        "<4sHBBHBfd",
+                        *h.host,
+                        h.zone,
+                        h.kind,
+                        h.destination,
+                        {state: code for code, state in wire.STATES.items()}[h.state],
+                        h.weight,
+                        0.0,
+                    )
+                    for h in entries
+                )
                 how = {kind: code for code, kind in wire.LISTS.items()}[how]
-                records += [struct.pack("<BBII", 10, bank, len(tail), len(entries)),
-                            struct.pack("<BIBQB", 1, relay, how, version, bank)]
+                records += [
+                    struct.pack("<BBII", 10, bank, len(tail), len(entries)),
+                    struct.pack("<BIBQB", 1, relay, how, version, bank),
+                ]
                 tail += rows
             case i.Message(mid, cls, destination, left, _, key, _, held):
-                records.append(struct.pack("<BIIIQddBBf", 2, relay, mid, 0, key, 0.0, left, cls, 16 * held,
-                                           destination))
+                records.append(
+                    struct.pack("<BIIIQddBBf", 2, relay, mid, 0, key, 0.0, left, cls, 16 * held, destination)
+                )
             case i.Outcome(mid, attempt, host, result, spent, done, wait, report):
                 note = 0 if report is None else 2
                 load = (0.0, 0.0) if report is None else (report.left, report.limit)
-                records.append(struct.pack("<BIIdHBIB4sHB4f", 4, relay, mid, spent, RESULTS[result], done,
-                                           int(wait * 1000), attempt, *host, note, *load, 0.0, 0.0))
+                records.append(
+                    struct.pack(
+                        "<BIIdHBIB4sHB4f",
+                        4,
+                        relay,
+                        mid,
+                        spent,
+                        RESULTS[result],
+                        done,
+                        int(wait * 1000),
+                        attempt,
+                        *host,
+                        note,
+                        *load,
+                        0.0,
+                        0.0,
+                    )
+                )
             case i.TimerDue(token):
                 records.append(struct.pack("<BIQ", 6, relay, token))
             case i.Withdrawn(mid):
@@ -169,7 +253,7 @@
                 play.out, play.bells = [], []
                 records += written(number, play.events(0), tail, 4)
             else:
-                records += written(number, play.events(now), tail, 4)   # the numbered lists are the process's
+                records += written(number, play.events(now), tail, 4)  # the numbered lists are the process's
         body = struct.pack("<dI", now, len(records)) + b"".join(r.ljust(48, b"\0") for r in records) + tail
         reply = host.reply(body)
         for number, play in first:
@@ -207,12 +291,15 @@
 
 # --- The same for what stands around the decisions in a real sender.
 
+
 def configured(site, seed, tmp_path):
     whole = json.loads(json.dumps(SITES[site]))
     for n, one in enumerate(whole["grades"]):
         one["name"] = f"class-{n}"
-    return config.check({"name": site, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": f"{seed:x}",
-                         "settings": whole}, tmp_path)
+    return config.check(
+        {"name": site, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": f"{seed:x}", "settings": whole},
+        tmp_path,
+    )
 
 
 class Desk:
@@ -240,8 +327,9 @@
         for order in iter(facade.pick, None):
             self.did.append((now, order))
             if isinstance(order, Dispatch):
-                self.out += [(now + draw.expovariate(4.0), item.request, item.attempt, order.server, now)
-                             for item in order.items]
+                self.out += [
+                    (now + draw.expovariate(4.0), item.request, item.attempt, order.server, now) for item in order.items
+                ]
             elif isinstance(order, Cancel):
                 continue
 
@@ -255,6 +343,7 @@
             for desk in order.sample(desks, len(desks)):
                 desk.step(n * STEP)
         return [desk.did for desk in desks]
+
     both = played((first, 11), (second, 12))
     assert both == [played((first, 11))[0], played((second, 12))[0]] and all(both)
 
@@ -278,8 +367,13 @@
 def test_after_a_reload_only_the_address_of_discovery_is_another(tmp_path):
     path = tmp_path / "relay.json"
     environ = {"RELAY_CONFIG": str(path), "RELAY_STATE": str(tmp_path)}
-    whole = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff",
-             "settings": story_settings()}
+    whole = {
+        "name": "n",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "seed": "ff",
+        "settings": story_settings(),
+    }
     path.write_text(json.dumps(whole))
     old = config.load(environ)
     whole.update(discovery="127.0.0.1:3", seed="aa", settings=story_settings(extra__calls_out=1, limits__max_open=1))
@@ -293,16 +387,29 @@
 # Each is made once from constants and only read: by name, what it says.
 HARMLESS = {
     "linkdock.facade._RESULTS": "an end in words, as the decisions call it",
-    "linkdock.facade._STATES": "likewise a state", "linkdock.facade._LISTS": "likewise a kind of list",
-    "linkdock.sender.ends.ENDS": "an end, as figures call it", "linkdock.dormancy.sleeper.STATES": "a state in words",
+    "linkdock.facade._STATES": "likewise a state",
+    "linkdock.facade._LISTS": "likewise a kind of list",
+    "linkdock.sender.ends.ENDS": "an end, as figures call it",
+    "linkdock.dormancy.sleeper.STATES": "a state in words",
     "linkdock.protocol.admin.CALLS": "operators' words and their methods",
     "linkdock.protocol.calls.STATES": "a batch's words for ends",
-    "linkdock.service.config.EFFECTS": "the settings' words", "linkdock.service.config._KINDS": "types, for errors",
-    "linkdock.wire.RESULTS": "codes of the wire's page", "linkdock.wire.STATES": "likewise",
-    "linkdock.wire.LISTS": "likewise", "linkdock.wire.EFFECTS": "likewise", "linkdock.wire.BODIES": "likewise"}
+    "linkdock.service.config.EFFECTS": "the settings' words",
+    "linkdock.service.config._KINDS": "types, for errors",
+    "linkdock.wire.RESULTS": "codes of the wire's page",
+    "linkdock.wire.STATES": "likewise",
+    "linkdock.wire.LISTS": "likewise",
+    "linkdock.wire.EFFECTS": "likewise",
+    "linkdock.wire.BODIES": "likewise",
+}
 MUTABLE = (dict, list, set, bytearray)
-MADE = {"_field_defaults", "_value2member_map_", "_member_map_", "_member_names_", "_unhashable_values_",
-        "_hashable_values_"}   # the library's, of named tuples and enumerations
+MADE = {
+    "_field_defaults",
+    "_value2member_map_",
+    "_member_map_",
+    "_member_names_",
+    "_unhashable_values_",
+    "_hashable_values_",
+}  # the library's, of named tuples and enumerations
 
 
 def modules():
@@ -348,5 +455,10 @@
             target = getattr(node, "value", None)
             if isinstance(node, ast.Subscript | ast.Attribute) and isinstance(target, ast.Name):
                 changes = isinstance(node.ctx, ast.Store | ast.Del) or getattr(node, "attr", "") in (
-                    "update", "setdefault", "pop", "clear", "popitem")
+                    "update",
+                    "setdefault",
+                    "pop",
+                    "clear",
+                    "popitem",
+                )
                 assert not (changes and f"{module.__name__}.{target.id}" in HARMLESS), f"{file}:{node.lineno}"
--- a/tests/test_undeliverable.py
+++ b/tests/test_undeliverable.py
@@ -26,8 +26,21 @@
 
 
 def message(name="aa01", **more):
-    return Message(**{"id": name, "key": "0" * 16, "cls": "order", "destination": 7, "body": b"\0body", "until": 50.0,
-                      "ended": 40.0, "cause": "undeliverable", "repeatable": False, "attempts": [], **more})
+    return Message(
+        **{
+            "id": name,
+            "key": "0" * 16,
+            "cls": "order",
+            "destination": 7,
+            "body": b"\0body",
+            "until": 50.0,
+            "ended": 40.0,
+            "cause": "undeliverable",
+            "repeatable": False,
+            "attempts": [],
+            **more,
+        }
+    )
 
 
 @pytest.fixture
@@ -55,7 +68,7 @@
     assert why_not(message(attempts=[Attempt(0, DONE)], repeatable=True), []) == "has run"
     assert why_not(message(state="dropped"), []) == "is dropped"
     again = message(attempts=[Attempt(0, NEVER), Attempt(1, MAY), Attempt(2, MAY)])
-    assert in_doubt(again, [never])   # it speaks of the attempts that there were then
+    assert in_doubt(again, [never])  # it speaks of the attempts that there were then
 
 
 def test_attempts_are_those_of_the_journal():
@@ -66,12 +79,17 @@
 def test_a_message_is_kept_once_and_found_by_what_is_asked(store):
     other = message("aa02", destination=8, cls="preview", repeatable=True, cause="deferred", ended=90.0)
     store.keep([message(), other])
-    store.keep([message(cause="deferred")])   # a restart hands it in again
+    store.keep([message(cause="deferred")])  # a restart hands it in again
     assert [m.id for m, _ in store.find(Filter())] == ["aa01", "aa02"]
     assert next(store.find(Filter(id="aa01")))[0] == message()
-    for which, ids in ((Filter(destination=8), ["aa02"]), (Filter(cls="order"), ["aa01"]),
-                       (Filter(before=60.0), ["aa01"]), (Filter(since=60.0), ["aa02"]),
-                       (Filter(cause="deferred"), ["aa02"]), (Filter(doubt=True), [])):
+    for which, ids in (
+        (Filter(destination=8), ["aa02"]),
+        (Filter(cls="order"), ["aa01"]),
+        (Filter(before=60.0), ["aa01"]),
+        (Filter(since=60.0), ["aa02"]),
+        (Filter(cause="deferred"), ["aa02"]),
+        (Filter(doubt=True), []),
+    ):
         assert [m.id for m, _ in store.find(which)] == ids
 
 
@@ -150,8 +168,12 @@
 def test_commands_show_and_state_and_drop_and_never_end_a_doubt_by_themselves(tmp_path):
     path = tmp_path / "u.db"
     store = Store(path, write=True)
-    store.keep([message("aa01", attempts=[Attempt(0, MAY)], ended=time.time() - 100),
-                message("aa02", attempts=[Attempt(0, NEVER)], ended=time.time())])
+    store.keep(
+        [
+            message("aa01", attempts=[Attempt(0, MAY)], ended=time.time() - 100),
+            message("aa02", attempts=[Attempt(0, NEVER)], ended=time.time()),
+        ]
+    )
     rows = json.loads(run("list", path, "--json").output)
     assert [(r["id"], r["in doubt"]) for r in rows] == [("aa01", True), ("aa02", False)]
     assert json.loads(run("list", path, "--json", "--older", "1m").output)[0]["id"] == "aa01"
@@ -160,7 +182,7 @@
     assert json.loads(run("stats", path).output)[0]["in doubt"] == 1
     assert run("resolve", path, "aa01", "--why", "asked them").exit_code == 2
     assert run("resolve", path, "aa01", "--never-ran", "--why", " ").exit_code == 2
-    assert run("resolve", path, "aa02", "--never-ran", "--why", "x").exit_code == 2   # it is in no doubt
+    assert run("resolve", path, "aa02", "--never-ran", "--why", "x").exit_code == 2  # it is in no doubt
     assert run("resolve", path, "aa01", "--never-ran", "--who", "w", "--why", "asked them").exit_code == 0
     assert run("resolve", path, "aa01", "--ran", "--why", "twice").exit_code == 2
     told = json.loads(run("show", path, "aa01").output)[0]
@@ -171,8 +193,13 @@
     for to in ("out.jsonl", "out.parquet"):
         assert "2 written" in run("export", path, tmp_path / to, "--dropped").output
     assert len((tmp_path / "out.jsonl").read_text().splitlines()) == 2
-    for words in (["list", tmp_path / "none"], ["show", path, "zz"], ["list", path, "--older", "soon"],
-                  ["export", path, tmp_path / "no" / "x"], ["list", path, "--most", "0"]):
+    for words in (
+        ["list", tmp_path / "none"],
+        ["show", path, "zz"],
+        ["list", path, "--older", "soon"],
+        ["export", path, tmp_path / "no" / "x"],
+        ["list", path, "--most", "0"],
+    ):
         assert run(*words).exit_code == 2
     store.close()
 
@@ -184,13 +211,13 @@
     journal.hold("aa01")
     for name in ("aa01", "aa02"):
         journal.notice(name, {"id": name, "status": "undeliverable"})
-        journal.end(name)   # the platform has confirmed it
+        journal.end(name)  # the platform has confirmed it
     assert set(journal.kept) == {"aa01"}
-    for n in range(300):   # it is rewritten meanwhile
+    for n in range(300):  # it is rewritten meanwhile
         journal.take(Kept(f"m{n}", "0" * 16, "order", 1, time.time() + 60, b"x" * 500))
         journal.end(f"m{n}")
     journal.close()
-    after = Journal(tmp_path, 100_000)   # a kill before the store had it
+    after = Journal(tmp_path, 100_000)  # a kill before the store had it
     assert after.kept["aa01"].body == b"the body" and after.kept["aa01"].notice is not None
     after.hold("aa01")
     after.end("aa01")
@@ -199,9 +226,17 @@
     after.close()
 
 
-@pytest.mark.parametrize("text, named", [
-    ('{"most": 0}', "$.most"), ('{"most": 5, "most_each": 9}', "most_each must be at most most"),
-    ('{"file": ""}', "$.file"), ('{"keep_days": 0}', "$.keep_days"), ('{"x": 1}', "x"), ("[", "undeliverable.json")])
+@pytest.mark.parametrize(
+    "text, named",
+    [
+        ('{"most": 0}', "$.most"),
+        ('{"most": 5, "most_each": 9}', "most_each must be at most most"),
+        ('{"file": ""}', "$.file"),
+        ('{"keep_days": 0}', "$.keep_days"),
+        ('{"x": 1}', "x"),
+        ("[", "undeliverable.json"),
+    ],
+)
 def test_settings_that_cannot_be_are_named(text, named):
     with pytest.raises(OptionError) as bad:
         shape.read(text.encode())
@@ -242,7 +277,7 @@
     by_id = {m.id: m for m in store.claim(99, {}, 99)}
     store.outcome(by_id["aa01"], False, [Attempt(0, NEVER), Attempt(1, MAY)])
     store.outcome(by_id["aa02"], True, [Attempt(0, DONE)])
-    store.outcome(by_id["aa02"], False, [])   # too late: it is not claimed any more
+    store.outcome(by_id["aa02"], False, [])  # too late: it is not claimed any more
     store.unclaim([by_id["aa03"]])
     rows = {m.id: (m, said) for m, said in store.find(Filter(state=None))}
     assert rows["aa01"][0].attempts == [Attempt(0, NEVER), Attempt(1, NEVER), Attempt(2, MAY)]
@@ -254,18 +289,23 @@
 def test_a_rule_sends_again_so_often_at_its_spacing_and_never_what_is_in_doubt(store):
     rule = shape.Rule(cls="order", cause="deferred", after_s=10.0, every_s=100.0, times=2, until_s=1000.0)
     now = time.time()
-    store.keep([message("sure", cause="deferred", ended=now - 20), message("early", cause="deferred", ended=now + 5000),
-                message("other", cause="undeliverable", ended=now - 20),
-                message("old", cause="deferred", ended=now - 2000),
-                message("preview", cls="preview", cause="deferred", ended=now - 20),
-                message("doubt", cause="deferred", ended=now - 20, attempts=[Attempt(0, MAY)])])
+    store.keep(
+        [
+            message("sure", cause="deferred", ended=now - 20),
+            message("early", cause="deferred", ended=now + 5000),
+            message("other", cause="undeliverable", ended=now - 20),
+            message("old", cause="deferred", ended=now - 2000),
+            message("preview", cls="preview", cause="deferred", ended=now - 20),
+            message("doubt", cause="deferred", ended=now - 20, attempts=[Attempt(0, MAY)]),
+        ]
+    )
     assert store.by_rule(0, rule, now, 99) == 1
     for at, count in ((now + 1, 0), (now + 101, 1), (now + 500, 0)):
         for claimed in store.claim(9, {}, 9):
             assert claimed.id == "sure"
             store.outcome(claimed, False, [Attempt(0, NEVER)])
         assert store.by_rule(0, rule, at, 1) == count
-    assert store.by_rule(0, rule, now - 50, 99) == 0   # a clock that was set back makes nothing due
+    assert store.by_rule(0, rule, now - 50, 99) == 0  # a clock that was set back makes nothing due
 
 
 def test_an_order_takes_effect_once_or_is_in_doubt_wherever_between_its_writes_the_sender_is_killed(tmp_path):
@@ -275,32 +315,35 @@
     def kill_at(point):
         folder = tmp_path / str(point)
         folder.mkdir()
-        lives = [subprocess.run([*child, str(folder), str(at)], env=env, capture_output=True, text=True)
-                 for at in (point, 0)]
+        lives = [
+            subprocess.run([*child, str(folder), str(at)], env=env, capture_output=True, text=True) for at in (point, 0)
+        ]
         assert lives[0].returncode in (0, 9) and lives[1].returncode == 0, (point, lives)
         store = Store(folder / "undeliverable.db", write=False)
-        (found, said), = store.find(Filter(state=None))
+        ((found, said),) = store.find(Filter(state=None))
         store.close()
         effects = folder / "effects"
         times = len(effects.read_text().splitlines()) if effects.exists() else 0
         return lives[0].returncode, found.state, in_doubt(found, said), times
+
     whole = tmp_path / "whole"
     whole.mkdir()
     points = int(subprocess.run([*child, str(whole), "0"], env=env, capture_output=True, text=True).stdout)
-    assert points >= 20   # else some were missed
+    assert points >= 20  # else some were missed
     ended, killed = [], 0
     with ThreadPoolExecutor(4) as pool:
         for ended_by, state, doubt, times in pool.map(kill_at, range(1, points + 1)):
             killed += ended_by == 9
             ended.append((state, doubt, times))
-    assert killed >= 0.9 * points   # transactions of the two threads may come in another number
+    assert killed >= 0.9 * points  # transactions of the two threads may come in another number
     assert all(times == 1 if state == "delivered" else doubt and times <= 1 for state, doubt, times in ended), ended
     assert ("delivered", False, 1) in ended and any(doubt for _, doubt, _ in ended)
 
 
 @pytest.mark.parametrize("broken", [False, True])
 def test_many_at_once_are_all_kept_and_none_stays_held_also_where_the_store_breaks_unforeseen(
-        tmp_path, monkeypatch, broken):
+    tmp_path, monkeypatch, broken
+):
     many = 2 * BATCH + 50
     if broken:
         monkeypatch.setattr(Store, "keep", lambda self, messages: 1 / 0)
@@ -321,6 +364,7 @@
             await asyncio.sleep(0.01)
         store.close()
         journal.close()
+
     asyncio.run(story())
     kept = Store(tmp_path / "undeliverable.db", write=False)
     assert len(list(kept.find(Filter()))) == (0 if broken else many)
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -35,8 +35,17 @@
     def start(self):
         folder = self.folder / str(len(self.started))
         folder.mkdir()
-        self.started.append(Program(folder, self.backends, discovery=self.discovery, admin="127.0.0.1:0",
-                                    accept=self.sock, state=self.folder, **self.more))
+        self.started.append(
+            Program(
+                folder,
+                self.backends,
+                discovery=self.discovery,
+                admin="127.0.0.1:0",
+                accept=self.sock,
+                state=self.folder,
+                **self.more,
+            )
+        )
         return self.started[-1]
 
     def client(self):
@@ -45,7 +54,7 @@
     def met(self, number):
         """Until this process has seen that a newer one came: it leaves for it what it has learned."""
         eventually((self.folder / f"learned.{number}").exists)
-        call(self.started[number - 1], "status")   # a round trip: what it does at that look is done
+        call(self.started[number - 1], "status")  # a round trip: what it does at that look is done
 
     def close(self):
         for program in self.started:
@@ -92,10 +101,10 @@
     both.met(1)
     old.terminate()
     old.logged("stopping")
-    assert client.heard() == ""   # closed between commands
+    assert client.heard() == ""  # closed between commands
     fresh = [both.client() for _ in range(20)]
     assert [c.ask("PING") for c in fresh] == ["+PONG"] * 20
-    line.answer(200)   # the old one finishes what was out
+    line.answer(200)  # the old one finishes what was out
     assert old.wait() == 0
     assert both.client().enqueue("aa02") == "+OK"
     second, (_, headers, _) = server.take()
@@ -129,10 +138,18 @@
     assert figures(new)['edge_relay_operations{priority="order",status="fulfilled"}'] == 3
 
 
-@pytest.mark.parametrize("steps", [
-    "old start_new kill_new", "old start_new kill_old", "old start_new term_old kill_old",
-    "old start_new term_old kill_new start_next", "old start_new kill_old kill_new start_new",
-    "old start_new term_old wait_old start_next term_new wait_new", "old kill_old start_new kill_new start_next"])
+@pytest.mark.parametrize(
+    "steps",
+    [
+        "old start_new kill_new",
+        "old start_new kill_old",
+        "old start_new term_old kill_old",
+        "old start_new term_old kill_new start_next",
+        "old start_new kill_old kill_new start_new",
+        "old start_new term_old wait_old start_next term_new wait_new",
+        "old kill_old start_new kill_new start_next",
+    ],
+)
 def test_a_kill_at_every_step_ends_each_message_once(pair, steps):
     """Messages of both classes, in a call that never ends, in one that does, and held, at each of the steps."""
     slow, sound, away = Backend("s1", destination=1), Backend("s2", destination=2), Backend("s3", destination=3)
@@ -163,12 +180,13 @@
     alive = list(programs.values())[-1]
     call(alive, "maint-off s3")
     back = Serving(away)
-    refuse(slow)   # and whatever waited there is refused or reset
+    refuse(slow)  # and whatever waited there is refused or reset
     assert all(said == "+OK" for _, _, said in asked.values())
 
     def settled():
         """Whether nothing is owed any more: neither by the one that lives nor by the files of the dead."""
         return not any(owed(path) for path in both.folder.glob("journal.*"))
+
     eventually(settled)
     noticed = {notice["id"] for _, notice in both.discovery.notices.queue}
     served = [*ends.seen.queue, *back.seen.queue]
@@ -192,7 +210,7 @@
     both.met(1)
     began = time.monotonic()
     line.answer(429, Retry_After="1.500")
-    old.terminate()   # the new one has what comes from now on
+    old.terminate()  # the new one has what comes from now on
     old.logged("stopping")
     assert both.client().enqueue("cc02") == "+OK"
     _, (_, headers, _) = server.take()
@@ -219,7 +237,7 @@
     second.terminate()
     assert second.wait() == 0
     assert both.client().enqueue("ca02") == "+OK"
-    server.take()   # not a connection that was opened before the wait was seen
+    server.take()  # not a connection that was opened before the wait was seen
     assert time.monotonic() - told > 3.9
     third.kill()
 
@@ -239,7 +257,7 @@
     third.logged("1 servers are known from process 2")
     assert not (both.folder / "learned.1").exists()
     third.kill()
-    new.process.send_signal(signal.SIGSTOP)   # it would write its own anew
+    new.process.send_signal(signal.SIGSTOP)  # it would write its own anew
     (both.folder / "learned.2").write_text("[[")
     both.start().logged("what process 2 has learned cannot be read")
 
@@ -252,7 +270,7 @@
     for n in range(8):
         assert both.client().enqueue(f"dd0{n}") == "+OK"
     old.logged("suspect")
-    old.process.send_signal(signal.SIGSTOP)   # it hangs, and what it has told must do
+    old.process.send_signal(signal.SIGSTOP)  # it hangs, and what it has told must do
     new = both.start()
     new.logged("beside 1")
     before = failing.seen.qsize()
@@ -261,7 +279,7 @@
     eventually(lambda: failing.seen.qsize() > before)
     settled_for = time.monotonic() + 0.3
     while time.monotonic() < settled_for:
-        assert failing.seen.qsize() - before <= 2   # single trials: four at once without what it was told
+        assert failing.seen.qsize() - before <= 2  # single trials: four at once without what it was told
     assert figures(new)["edge_relay_out_of_rotation"] == 1
     old.kill()
 
@@ -275,7 +293,7 @@
     assert figures(new)["edge_relay_out_of_rotation"] == 1
     assert both.client().enqueue("ee01") == "+OK" == both.client().enqueue("ee02")
     assert server.quiet()
-    call(new, "maint-off s1")   # told to one, it holds for both
+    call(new, "maint-off s1")  # told to one, it holds for both
     old.logged("is back from being out by hand, as another process was told")
     line, _ = server.take()
     line.answer(200)
@@ -298,33 +316,45 @@
     with contextlib.suppress(TimeoutError):
         while True:
             lines.append(server.line())
-    assert len(lines) <= 4   # each alone would send three
-    assert 2 + sum(s == "+OK" for s in said) <= 8   # and hold six
+    assert len(lines) <= 4  # each alone would send three
+    assert 2 + sum(s == "+OK" for s in said) <= 8  # and hold six
 
 
 @pytest.mark.parametrize("number", ["x", "-1", "77", "file", "plain"])
 def test_a_wrong_descriptor_ends_the_start_with_one_line(tmp_path, number):
     with socket.socket() as plain, open(os.devnull) as file:
         told = {"file": str(file.fileno()), "plain": str(plain.fileno())}.get(number, number)
-        (tmp_path / "config.json").write_text(json.dumps(
-            {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": settings()}))
-        done = subprocess.run([sys.executable, "-m", "linkdock"], cwd=ROOT, capture_output=True, text=True,
-                              pass_fds=(plain.fileno(), file.fileno()),
-                              env={**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json"),
-                                   "RELAY_STATE": str(tmp_path), "RELAY_ACCEPT_FD": told})
+        (tmp_path / "config.json").write_text(
+            json.dumps(
+                {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": settings()}
+            )
+        )
+        done = subprocess.run(
+            [sys.executable, "-m", "linkdock"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            pass_fds=(plain.fileno(), file.fileno()),
+            env={
+                **os.environ,
+                "RELAY_CONFIG": str(tmp_path / "config.json"),
+                "RELAY_STATE": str(tmp_path),
+                "RELAY_ACCEPT_FD": told,
+            },
+        )
     assert done.returncode == 2 and "linkdock: RELAY_ACCEPT_FD" in done.stderr and "Traceback" not in done.stderr
 
 
 def test_what_lay_in_the_socket_until_the_start_has_less_time_than_it_says(tmp_path):
     server = Backend("s1")
     listening = socket.create_server(("127.0.0.1", 0))
-    early = Client(listening.getsockname()[1])   # nobody accepts yet
+    early = Client(listening.getsockname()[1])  # nobody accepts yet
     early.send("ENQUEUE", "0" * 16, "ea01", "c=order,d=6000,dest=1", b"hello")
     program = Program(tmp_path, [server], accept=listening)
     try:
         assert early.heard() == "+OK"
         line, (_, headers, _) = server.take()
-        assert float(headers["x-expires-in"]) <= 5.6   # it may have been sent 0.4 s before it was read
+        assert float(headers["x-expires-in"]) <= 5.6  # it may have been sent 0.4 s before it was read
         line.answer(200)
         program.settle()
         assert program.client().enqueue("ea02", "order", 6000) == "+OK"
@@ -375,7 +405,7 @@
         listening.setblocking(False)
         listener = Listener([listening], Wheel(0.01, 0.0), lambda sock, address: (sock.close(), came.set()))
         assert listener.catching_up
-        await asyncio.sleep(0)   # its first turn
+        await asyncio.sleep(0)  # its first turn
         assert not listener.catching_up
         client = Client(listening.getsockname()[1])
         await asyncio.wait_for(came.wait(), PATIENCE)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,14 @@
 from linkdock import wire
 from linkdock.drill import Host
 
-INFO = {"grades": [{"idempotency": "read_like", "aim": 1.0, "hard-limit": 6.0}], "balancers": 2,
-        "limits": {"max-open": 50, "max-attempts": 4}, "extra": {"calls-out": 5, "new-key": 1}, "rules": {},
-        "report": {"fields": ["x0", "x1"]}}
+INFO = {
+    "grades": [{"idempotency": "read_like", "aim": 1.0, "hard-limit": 6.0}],
+    "balancers": 2,
+    "limits": {"max-open": 50, "max-attempts": 4},
+    "extra": {"calls-out": 5, "new-key": 1},
+    "rules": {},
+    "report": {"fields": ["x0", "x1"]},
+}
 
 
 def frame(now, records, tail=b""):
@@ -30,7 +35,7 @@
 def actions(reply):
     size, count = struct.unpack_from("<II", reply)
     assert size == len(reply) - 4
-    return [reply[8 + 24 * n:32 + 24 * n] for n in range(count)]
+    return [reply[8 + 24 * n : 32 + 24 * n] for n in range(count)]
 
 
 def test_reused_list_number_within_a_batch():
@@ -51,8 +56,7 @@
     record = struct.pack("<BIIdHBIB4sH", 4, 9, 77, 0.5, 11, 0, 250, 2, b"\x0a\0\0\1", 8) + report
     decoder = wire.Decoder()
     _, events = decoder.batch(frame(1.0, [made, record], text))
-    assert events[1] == (9, i.Outcome(77, 2, (b"\x0a\0\0\1", 8), i.Result.FULL, 0.5, False, 0.25,
-                                      i.Report(0.5, 12.0)))
+    assert events[1] == (9, i.Outcome(77, 2, (b"\x0a\0\0\1", 8), i.Result.FULL, 0.5, False, 0.25, i.Report(0.5, 12.0)))
 
 
 def test_every_result_code_is_known():
@@ -63,17 +67,28 @@
 
 
 def test_the_action_bytes_of_the_page():
-    host = (bytes.fromhex("0a124a07"), 0x1f93)
-    reply = wire.encode_reply([(3, i.Send(0x5d3a91c4, host, 0.0799999982)), (3, i.Log("two servers known"))])
+    host = (bytes.fromhex("0a124a07"), 0x1F93)
+    reply = wire.encode_reply([(3, i.Send(0x5D3A91C4, host, 0.0799999982)), (3, i.Log("two servers known"))])
     assert reply[4:8] == b"\2\0\0\0" and reply[8:23] == bytes.fromhex("4003000000c4913a5d0a124a07931f")
     assert reply.endswith(b"two servers known") and len(actions(reply)) == 2
 
 
 def test_all_actions_are_written_with_their_codes():
     host = (b"\x0a\0\0\1", 8)
-    made = [i.Send(1, host, 1.0), i.Refuse(1, 0.5), i.Fail(1), i.Cancel(1, 0), i.SetTimer(2.0, 3),
-            i.Probe(host), i.CloseIdle(host), i.Tell(None, b"x"), i.Log("l"), wire.Fault("f"),
-            i.Subscribe(True), i.FetchList()]
+    made = [
+        i.Send(1, host, 1.0),
+        i.Refuse(1, 0.5),
+        i.Fail(1),
+        i.Cancel(1, 0),
+        i.SetTimer(2.0, 3),
+        i.Probe(host),
+        i.CloseIdle(host),
+        i.Tell(None, b"x"),
+        i.Log("l"),
+        wire.Fault("f"),
+        i.Subscribe(True),
+        i.FetchList(),
+    ]
     codes = [record[0] for record in actions(wire.encode_reply((1, a) for a in made))]
     assert codes == list(range(64, 76))
 
@@ -115,17 +130,22 @@
 
 def test_figures_of_the_list_and_of_refused_calls_reach_the_settings():
     extra = {"calls-out": 5, "refusal-cost": 0.05, "bundle-max": [1, 10]}
-    told = wire.read_settings(json.dumps({**INFO, "discovery": "subscribe", "rules": {"ask-within": 7.5},
-                                          "extra": extra}).encode())
+    told = wire.read_settings(
+        json.dumps({**INFO, "discovery": "subscribe", "rules": {"ask-within": 7.5}, "extra": extra}).encode()
+    )
     assert (told.subscribe, told.ask_within, told.refusal_price) == (True, 7.5, 0.05)
     assert [kind.batch for kind in told.kinds] == [1, 10]
     assert wire.read_settings(json.dumps({**INFO, "discovery": "subscribe"}).encode()).ask_within > 0
 
 
-@pytest.mark.parametrize("more, name", [
-    ({"discovery": "subscribe", "rules": {"ask-within": 0}}, "ask_within"),
-    ({"discovery": "subscribe", "rules": {"ask-within": -2}}, "ask_within"),
-    ({"extra": {"calls-out": 5, "bundle-max": [0]}}, "batch")])
+@pytest.mark.parametrize(
+    "more, name",
+    [
+        ({"discovery": "subscribe", "rules": {"ask-within": 0}}, "ask_within"),
+        ({"discovery": "subscribe", "rules": {"ask-within": -2}}, "ask_within"),
+        ({"extra": {"calls-out": 5, "bundle-max": [0]}}, "batch"),
+    ],
+)
 def test_settings_that_can_only_be_mistakes_name_their_field(more, name):
     with pytest.raises(ValueError, match=name):
         wire.read_settings(json.dumps({**INFO, **more}).encode())
