--- a/linkdock/connections/choice.py
+++ b/linkdock/connections/choice.py
@@ -22,8 +22,8 @@
     careful: Annotated[
         Share,
         msgspec.Meta(
-            description="The most risk that a kept connection is dead, beyond that of a new one, at which it is used for "
-            "what may not be repeated: the price of a handshake over the worth of a message."
+            description="The most risk that a kept connection is dead, beyond that of a new one, at which it is used "
+            "for what may not be repeated: the price of a handshake over the worth of a message."
         ),
     ] = 0.04
     bold: Annotated[Share, msgspec.Meta(description="For what may be repeated, which loses a call's time.")] = 0.05
