--- a/linkdock/decisions/dispatch.py
+++ b/linkdock/decisions/dispatch.py
@@ -1,11 +1,12 @@
 """Choice and dispatch: what each message is worth, which goes next and where, and how it ends unsent."""
 
 import heapq
+from bisect import insort
 from math import inf
 
-from ..interface import Cancel, CloseIdle, Effect, Fail, Refuse, Send, Withdrawn
+from ..interface import Cancel, CloseIdle, Effect, Fail, KeyHeld, Refuse, Send, Settled, Withdrawn
 from .health import Health
-from .model import Call, Dest, Link, Msg
+from .model import Call, Dest, Elsewhere, Link, Msg
 from .pace import FLOOR
 
 ROOM = 0.95  # part of the message store from which the least worth is refused
@@ -87,13 +88,27 @@
             self.acts.append(Cancel(m.id, m.attempts - 1))
         self.release(m)
 
-    def release(self, m: Msg) -> None:
+    def enqueue(self, m: Msg | Elsewhere) -> None:
+        """The one place where a message joins its key's queue."""
+        insort(self.keys.setdefault(m.key, []), m, key=lambda one: one.taken_at)
+        if m.taken_at > 0:
+            self.unsettled[m.id] = m
+
+    def release(self, m: Msg | Elsewhere) -> None:
+        """The one place where a key passes on: the message is over, confirmed, and no call of it is out."""
         queue = self.keys.get(m.key) if m.key else None
-        if queue and m.done and not m.call:
+        if queue and m.done and not m.call and m.id not in self.unsettled:
             queue.remove(m)
             if not queue:
                 del self.keys[m.key]
 
+    def on_keyheld(self, held: KeyHeld) -> None:
+        self.enqueue(Elsewhere(held))
+
+    def on_settled(self, e: Settled) -> None:
+        if (m := self.unsettled.pop(e.id, None)) is not None:
+            self.release(m)
+
     def on_withdrawn(self, e: Withdrawn) -> None:
         if e.id in self.msgs:
             self.end(self.msgs[e.id])
@@ -104,7 +119,8 @@
             return True
         rest = self.rest.get(m.key, -inf) if m.attempts == m.before else -inf
         self.due = min(self.due, rest if rest > self.now else inf)
-        return self.keys[m.key][0] is m and rest <= self.now
+        queue = self.keys[m.key]
+        return queue[0] is m and rest <= self.now and not any(one.call for one in queue)
 
     def fits(self, m: Msg, link: Link) -> bool:
         """The rules of the message against one link."""
@@ -138,10 +154,7 @@
         return (soon - later) / took + (1000 if bold and link.down_at is not None else 0)
 
     def company(self, m: Msg, link: Link, dest: Dest) -> list[Msg]:
-        """The message and those that share its call, where the kind allows; a trial goes alone.
-
-        Nothing waits for company. Hurts where a call fails, for all in it.
-        """
+        """The message and those that share its call, where the kind allows; a trial goes alone."""
         most = self.kind(link.entry).batch if link.down_at is None else 1
         behind = min(max(self.wait_for(dest), 0.2), 10.0)
         others = (o for o in dest.waiting.values() if o is not m and self.fits(o, link) and self.turn(o))
@@ -192,11 +205,7 @@
         self.busy, dest.out = self.busy + 1, dest.out + 1
 
     def close_idle(self) -> None:
-        """Close connections that this relay will hardly use again soon.
-
-        Danger: idle connections of many relays take all that an endpoint accepts, whoever fills it. Hurts by
-        a handshake where calls come closer than the list says.
-        """
+        """Close connections that this relay will hardly use soon: an endpoint takes few."""
         for link in self.touched.values():
             peers = sum(k.ready for k in self.dests[link.entry.destination].links)
             gap = peers * self.s.relays / self.rate(link)
--- a/linkdock/decisions/health.py
+++ b/linkdock/decisions/health.py
@@ -60,8 +60,7 @@
         link.silent = why.startswith("silent")
         self.next_trial(link, 0.0)
         self.say(link, "suspect", why)
-        # Danger: an outage mostly takes all links of a route, and one not tried meanwhile would get all that
-        # is held on the return. Hurts a sound link. A failed connect says nothing of others.
+        # An outage mostly takes all links of a route. A failed connect says nothing of others.
         lone = why.startswith(Result.CONNECT_FAILED.name.lower())
         for other in self.dests[link.entry.destination].links:
             idle = not lone and other.last_ok < self.now - self.s.tip_after
@@ -71,9 +70,8 @@
     def reclaim(self) -> None:
         """Take back slots from overdue calls on stopped links, and unsafe ones that a later call overtook.
 
-        Danger: calls that will not be answered hold the slots of all others: hung partners, lost answers.
-        While many are free they stay, for a slow link shows itself by answering. With few left, repeatable
-        ones go; with none, unsafe ones too. Hurts a message that was about to be delivered late.
+        While many are free they stay, for a slow link may still answer. With few left, repeatable ones go;
+        with none, unsafe ones too.
         """
         free = self.s.slots - self.busy
         if free > (1 - SCARCE) * self.s.slots or not self.hot:
@@ -95,8 +93,7 @@
     def check_silence(self) -> None:
         """Calls overdue against what is usual, with no answer since, are evidence before any time-out.
 
-        Danger: with tau the time left a hung link shows no time-out. Covers silent hosts and pauses; hurts
-        where a link slows manyfold at once, which then gets single trials for a while.
+        Where tau is the time left a hung link shows no time-out. One that slows gets single trials.
         """
         for link in (k for k in self.out if k.down_at is None):
             weight, speed, ready = 0.0, 0.0, inf
@@ -162,15 +159,12 @@
             link.idle.append(self.now + self.s.idle_close)
             self.answered(link, call.sent, e)
         elif o.result is Result.FULL or fast:
-            # Danger: relays that push together use up a limit, a queue or all connections, and push over a
-            # partner that returns. Each refusal on end rests the route longer, and by chance; no more relays
-            # push than messages came since the first. Without a limit in sight they keep to a cold budget.
-            # Hurts where a call only met a short queue.
+            # Relays that push together use up a limit, and push over a partner that returns. Each refusal on
+            # end rests the route longer, by chance; no more push than messages came since the first.
             if fast:
                 route.round_trip += (o.elapsed - route.round_trip) * (SMOOTH if route.round_trip else 1)
             link.heard = self.now
-            # Danger: at a high rate many calls are out when a limit is met, and reports are older than that.
-            # Counted singly, one blow cuts the part to nothing for long. Hurts where others push on.
+            # Many calls are out when a limit is met: counted singly, one blow would cut the part to nothing.
             just = 0 < o.wait <= self.s.tip_after and link.last_ok > self.now - JUST
             met = limited and (o.report.left < LEFT or just)
             if o.result is Result.FULL:
@@ -196,8 +190,7 @@
                 if lasted > self.s.tip_after * (1 if fast or limited else STALE):
                     self.failed(link, call.sent, o.result)
             if o.result is Result.FULL and self.kind(link.entry).apart and self.random.random() < kind[2]:
-                # Danger: tries at all routes in turn keep each over its limit, where refused calls use it up.
-                # As many rest as the kind refuses, unless they served lately. Hurts if one alone is full.
+                # Tries at all in turn would keep each over its limit: as many rest as the kind refuses.
                 for other in dest.links:
                     if other.last_ok < self.now - STALE * self.s.tip_after:
                         other.route.tokens_at = max(other.route.tokens_at, route.tokens_at)
--- a/linkdock/decisions/model.py
+++ b/linkdock/decisions/model.py
@@ -49,7 +49,12 @@
         self.worth, self.attempts, self.before = cls.worth * over, m.attempts, m.attempts
         self.tries = m.attempts if m.tries is None else m.tries
         self.call, self.doubt, self.doubt_zone = None, None, 0
-        self.done, self.orphaned = False, m.orphaned
+        self.done, self.orphaned, self.taken_at = False, m.orphaned, m.taken_at
+
+
+class Elsewhere:  # a message that another process of this sender holds: it only keeps its key
+    def __init__(self, held: i.KeyHeld) -> None:
+        self.id, self.key, self.taken_at, self.done, self.call = held.id, held.key, held.taken_at, True, None
 
 
 class Dest:  # its links, the messages that wait for it, its calls out and its recent time-outs
@@ -75,7 +80,8 @@
         self.down: dict[Link, None] = {}  # stopped ones
         self.gone: deque[tuple[float, Link]] = deque()
         self.links: dict[i.Host, Link] = {}
-        self.keys: dict[int, deque[Msg]] = {}
+        self.keys: dict[int, list[Msg | Elsewhere]] = {}  # in the order in which they were taken
+        self.unsettled: dict[int, Msg | Elsewhere] = {}  # whose ends are to be confirmed
         self.rest: dict[int, float] = {}
         self.touched: dict[i.Host, Link] = {}
         self.capped: set[int] = set()
--- a/linkdock/decisions/pace.py
+++ b/linkdock/decisions/pace.py
@@ -26,8 +26,7 @@
     def timeout(self, link: Link, m: Msg) -> float:
         """Equation (3), at least the floor, at most the time left; unsafe messages wait all of it.
 
-        A keyed call ends while its receiver still drops a repeat. Danger: a lost answer or a hung call takes
-        the window with it. Hurts by a repeat where calls usually take longer than that.
+        A keyed call ends while its receiver still drops a repeat, or a lost answer would take the window.
         """
         if m.rules.effect is Effect.UNSAFE:
             return m.deadline - self.now
@@ -42,8 +41,7 @@
     def rate(self, link: Link) -> float:
         """What the route takes from all relays together: as reported, as told, or else what it is asked for.
 
-        The last by this relay's own arrivals times the relays, drawn to the mean of the partner's kind while
-        they are few, and that to one call at a time; partners mostly take what comes to them.
+        The last is drawn to the mean of its kind while few messages came, and that to one call at a time.
         """
         told = link.route.limit or (link.entry.weight if self.s.told_weights else 0.0)
         if told > 1e-9:  # below, it says nothing, and a part of it may be 0
--- a/linkdock/decisions/relay.py
+++ b/linkdock/decisions/relay.py
@@ -1,6 +1,5 @@
 """The relay: events in, one dispatch pass, actions out. It keeps the list of hosts and who sleeps."""
 
-from collections import deque
 from math import inf
 
 from .. import interface as i
@@ -122,11 +121,7 @@
         self.due = self.now + self.s.tick
 
     def ask(self) -> None:
-        """Ask for changes of the list where it must be asked for, again after a failure, one call at a time.
-
-        Danger: drains go unheard. Covers lost calls, lost subscriptions and lost replies, and a fleet that
-        starts together and would overrun the list's server. Hurts by a stale list for as long as the spread.
-        """
+        """Ask for changes of the list where it must be asked for, spread over the fleet, one at a time."""
         if self.ask_at is None:
             self.ask_at = self.now + self.random.uniform(0, ASK_MOST) * self.s.ask_within
         if self.ask_at <= self.now:
@@ -151,7 +146,7 @@
         for link in dest.links[:1]:
             self.kinds[link.entry.kind][1] += 1
         if m.key:
-            self.keys.setdefault(m.key, deque()).append(m)
+            self.enqueue(m)
         self.sweep_at = min(self.sweep_at, self.give_up_at(m))
 
     def on_outcome(self, o: i.Outcome) -> None:
--- a/linkdock/facade.py
+++ b/linkdock/facade.py
@@ -73,6 +73,21 @@
     used: int = 0
     tenant: int = 0
     tries: int | None = None  # how many of those count as attempts; none told: all
+    taken_at: float = 0.0  # where its key's messages go in order: by this, and its end is told by `Settled`
+
+
+class KeyHeld(NamedTuple):
+    """Another process of this sender holds a message of this key; what was taken later waits for its end."""
+
+    request: str
+    key: int
+    taken_at: float
+
+
+class Settled(NamedTuple):
+    """The end of a request is confirmed, and no call of it can be running any more: its key passes on."""
+
+    request: str
 
 
 class End(NamedTuple):
@@ -95,6 +110,8 @@
     request: str
 
 
+Fact = Table | Take | KeyHeld | Settled | End | Withdraw
+
 # --- Orders, from `pick`.
 
 
@@ -166,6 +183,7 @@
     attempts: int
     over: bool = False
     out: set[int] = field(default_factory=set)
+    unsettled: bool = False  # whether its key waits for its end to be confirmed
 
 
 class Facade:
@@ -185,13 +203,13 @@
 
     # --- In.
 
-    def report(self, fact: Table | Take | End | Withdraw) -> None:
+    def report(self, fact: Fact) -> None:
         """Queue a fact for the next tick. What is unknown or long over is passed over."""
         self._take_in(fact)
         if self._facts and self.wake is not None:
             self.wake()
 
-    def _take_in(self, fact: Table | Take | End | Withdraw) -> None:
+    def _take_in(self, fact: Fact) -> None:
         match fact:
             case Table(how, servers, version):
                 if self._sleeper is not None:
@@ -205,11 +223,20 @@
                 if self._sleeper is not None and how != "changes":
                     entries = [row for number in awake for row in self._sleeper.rows(number)]
                 self._facts.append(i.Hosts(_LISTS[how], entries, version))
-            case Take(request, cls, destination, left, key, again, held, used, tenant, tries):
-                self._last += 1
-                known = _Known(request, self._last, used)
-                self._known[request] = self._numbers[self._last] = known
-                self._facts.append(i.Message(self._last, cls, destination, left, tenant, key, again, held, used, tries))
+            case Take(request, cls, destination, left, key, again, held, used, tenant, tries, taken_at):
+                self._settle(request)  # of what was held elsewhere, and is this process's own from now on
+                taken_at = taken_at if key else 0.0
+                known = self._name(request, used, unsettled=taken_at > 0)
+                self._facts.append(
+                    i.Message(known.number, cls, destination, left, tenant, key, again, held, used, tries, taken_at)
+                )
+            case KeyHeld(request, key, taken_at):
+                if request not in self._known:
+                    known = self._name(request, 0, unsettled=True)
+                    known.over = True
+                    self._facts.append(i.KeyHeld(known.number, key, taken_at))
+            case Settled(request):
+                self._settle(request)
             case End(request, attempt, server, how, elapsed, wait, load, over, tried):
                 known = self._known.get(request)
                 if known is None or attempt not in known.out:
@@ -237,9 +264,22 @@
                     self._facts.append(i.Withdrawn(known.number))
                     self._forget(known)
 
+    def _name(self, request: str, attempts: int, unsettled: bool) -> _Known:
+        self._last += 1
+        known = _Known(request, self._last, attempts, unsettled=unsettled)
+        self._known[request] = self._numbers[self._last] = known
+        return known
+
+    def _settle(self, request: str) -> None:
+        known = self._known.get(request)
+        if known is not None and known.unsettled:
+            known.unsettled = False
+            self._facts.append(i.Settled(known.number))
+            self._forget(known)
+
     def _forget(self, known: _Known) -> None:
-        """The names of a request go once it is over and the last of its dispatches has ended."""
-        if known.over and not known.out:
+        """The names of a request go once it is over and settled, and the last of its dispatches has ended."""
+        if known.over and not known.out and not known.unsettled:
             self._known.pop(known.request, None)
             self._numbers.pop(known.number, None)
 
--- a/linkdock/interface.py
+++ b/linkdock/interface.py
@@ -185,6 +185,25 @@
     orphaned: bool = False
     attempts: int = 0  # spent on it before this relay started,
     tries: int | None = None  # of which so many count against `max_attempts`; none told: all
+    taken_at: float = 0.0  # by which a key's messages go in order; 0: in the order of the events
+
+    # Where `taken_at` is above 0, the end of the message is known only by `Settled`, and keeps its key until then.
+
+
+@dataclass(slots=True)
+class KeyHeld:
+    """A message of an ordered class that another process of this sender holds; its key waits for `Settled`."""
+
+    id: int
+    key: int
+    taken_at: float
+
+
+@dataclass(slots=True)
+class Settled:
+    """A message's end is confirmed and no call of it can be running any more: its key passes on."""
+
+    id: int
 
 
 @dataclass(slots=True)
@@ -262,7 +281,7 @@
         """It wakes with the links that are listed: give them what was kept, as far as it still counts."""
 
 
-Event = Hosts | Message | Outcome | Started | Withdrawn | Probed | TimerDue | PeerMessage
+Event = Hosts | Message | KeyHeld | Settled | Outcome | Started | Withdrawn | Probed | TimerDue | PeerMessage
 
 
 @dataclass(slots=True)
--- a/linkdock/protocol/calls.py
+++ b/linkdock/protocol/calls.py
@@ -34,7 +34,7 @@
 MARGIN = 0.05  # seconds before the told end of a call at which it is given up
 NO_ROOM_PAUSE = 0.05  # seconds until a connection is tried again that there was no room for
 REST_OF_ANSWER = 0.5  # seconds that an answer may take from its first byte to its last
-CLOSED = 0.1  # and until its server has surely met the close of one that took longer
+CLOSED = 0.1  # seconds until a server has surely met the close of a connection
 STATES = {"done": DELIVERED, "failed": ERROR, "busy": TURNED_AWAY, "void": NOT_SENT, "used_up": NOT_SENT}
 
 
@@ -67,6 +67,12 @@
     def repeatable(self, request: Request) -> bool:
         """Whether it may be sent again though it may have run."""
 
+    def call_began(self, request: str) -> None:
+        """The first byte of a call with this request of an ordered class is about to be written."""
+
+    def call_over(self, request: str) -> None:
+        """That call cannot be running any more: its server has answered all of it, or has met its end."""
+
     def delivered_late(self, request: str, due: float) -> None:
         """An item that had been given up was delivered all the same."""
 
@@ -107,6 +113,8 @@
         self._fresh = False  # whether it goes over a connection that nothing went over before
         self._single = True  # whether one answer counts for one item
         self._ordered = any(r.ordered for r in requests)
+        self._carried: list[str] = []  # requests of ordered classes whose first byte went out
+        self._answered = False  # whether the whole answer was read
         self._spoilt = False  # whether the answer began and did not end in time
         self._connection: Connection | None = None
         self._asked: Asked | None = None  # the wish for one, where the keeper is on
@@ -206,6 +214,22 @@
             if self._connection is not None:
                 pool = self._b.pool
                 (pool.give_back if reusable else pool.discard)(self._connection)
+            self._let_go()
+
+    def _let_go(self) -> None:
+        """Tell when the call cannot be running any more, which the next message of a key waits for."""
+        carried, self._carried = self._carried, []
+        if not carried:
+            return
+
+        def over() -> None:
+            for request in carried:
+                self._b.desk.call_over(request)
+
+        if self._sent and not self._answered:
+            self._b.wheel.after(CLOSED, over)  # the server has not met the close of the connection yet
+        else:
+            over()
 
     async def _closed(self) -> str:
         """Close over a spoilt answer. Danger: the next of its key would come to its server before the close does."""
@@ -237,6 +261,9 @@
                 size += room
         if not self.items:
             return True
+        self._carried = [request for request in self.items if self._requests[request].ordered]
+        for request in self._carried:
+            b.desk.call_began(request)
         self._fresh = self._connection.first is None or b.kept is not None and self._connection.age < 0
         self._written_at, count = b.clock(), len(self.items)
         self._writing = stream.write(self._encode())
@@ -346,6 +373,7 @@
                     elif isinstance(part, http.Body):
                         body += part.data
                     else:
+                        self._answered = True
                         self._judge(head, body)
                         return part.keep
                 if self._told and self.items and not self._ordered:  # else others of its key wait for all of it
--- a/linkdock/sender/books.py
+++ b/linkdock/sender/books.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from ..facade import Facade
+from ..facade import Facade, Settled
 from ..interface import Settings
 from ..protocol.notices import Notices
-from ..state.journal import Journal
+from ..state.journal import EARLIEST, Journal, Kept
 from ..state.requests import Refused, Request, Requests
 from ..state.table import ServerTable
 
@@ -48,6 +48,9 @@
         self.undeliverable: Undeliverable | None = None  # the store, where it is on
         self.figures: Figures | None = None  # where there are operators
         self.notices: Notices
+        # By the process's timers, which call back once; without any, at once.
+        self.after: Callable[[float, Callable[[], None]], object] = lambda seconds, call: call()
+        journal.on_end = lambda request: facade.report(Settled(request))
 
     def tenant(self, name: str) -> int:
         """The number of a tenant; one that the settings do not name has no share that it could be over."""
@@ -56,11 +59,20 @@
 
     def order_key(self, request: Request) -> int:
         """By which messages of its class go in order; 0 where they need not, and the request knows. Raises Refused."""
-        if not self.rules.settings.classes[request.cls].in_order:
+        key = self._order(request.cls, request.key)
+        request.ordered = key != 0
+        request.taken_at = self.journal.stamp() if key else EARLIEST
+        return key
+
+    def key_on_record(self, kept: Kept) -> int:
+        """By which a message on record goes in order; 0 where it does not. Raises Refused like `order_key`."""
+        cls = self.rules.classes.get(kept.cls)
+        return 0 if cls is None else self._order(cls, kept.key)
+
+    def _order(self, cls: int, key: str) -> int:
+        if not self.rules.settings.classes[cls].in_order:
             return 0
         try:
-            key = int(request.key, 16)
+            return int(key, 16)
         except ValueError:
             raise Refused("the key is not hexadecimal") from None
-        request.ordered = key != 0
-        return key
--- a/linkdock/sender/desk.py
+++ b/linkdock/sender/desk.py
@@ -5,6 +5,7 @@
 import logging
 import time
 from collections.abc import Callable
+from contextlib import suppress
 from math import inf
 from typing import TYPE_CHECKING, Protocol
 
@@ -18,9 +19,11 @@
     Drop,
     End,
     Item,
+    KeyHeld,
     Remark,
     Retire,
     Server,
+    Settled,
     Table,
     Take,
     Withdraw,
@@ -36,6 +39,7 @@
 
 if TYPE_CHECKING:
     from ..state.duty import Duty
+    from ..state.journal_reader import KeyChanges
     from ..undeliverable.facts import Message
 
 log = logging.getLogger(__name__)
@@ -130,7 +134,17 @@
         self._b.requests.add(request)
         self._asking[request.id] = request
         self._b.facade.report(
-            Take(request.id, request.cls, destination, left, key, again, held, tenant=self._b.tenant(request.tenant))
+            Take(
+                request.id,
+                request.cls,
+                destination,
+                left,
+                key,
+                again,
+                held,
+                tenant=self._b.tenant(request.tenant),
+                taken_at=request.taken_at,
+            )
         )
 
     def _no_room(self, destination: int) -> Busy:
@@ -198,6 +212,15 @@
         out = {request for request, _ in self._calls}
         self._lives.hand_over(lambda request: request in out or request in self._asking, self.beside.hand_over)
 
+    def held_elsewhere(self, changes: KeyChanges) -> None:
+        """What other processes of this sender hold of ordered keys, and what of that has ended."""
+        for kept in changes.held:
+            with suppress(Refused):  # its class went in no order when it was taken
+                if key := self._b.key_on_record(kept):
+                    self._b.facade.report(KeyHeld(kept.id, key, kept.taken_at))
+        for request in changes.ended:
+            self._b.facade.report(Settled(request))
+
     def confirmed(self, request: str) -> None:
         """The platform has heard how a request ended."""
         self._ends.confirmed(request)
@@ -254,6 +277,7 @@
         """Answer a client, on record first. What is not taken on is forgotten."""
         if final is not None:
             self._b.requests.remove(request.id)
+            self._b.facade.report(Settled(request.id))
             self._say(request, Busy(final.wait) if isinstance(final, Deny) else Failed("not delivered"))
             return
         left = request.until - self._b.clock()
@@ -266,10 +290,12 @@
             request.body,
             idempotency_key=request.idempotency_key,
             tenant=request.tenant,
+            taken_at=request.taken_at,
         )
         if not self._b.journal.take(kept):
             self._b.requests.remove(request.id)
             self._b.facade.report(Withdraw(request.id))
+            self._b.facade.report(Settled(request.id))
             self._say(request, self._no_room(request.destination))
         elif not self._say(request, Taken()):
             # Its client left unanswered and may hand it in again: nothing is owed, and nothing may be sent.
@@ -375,6 +401,12 @@
         elif over or how == DELIVERED:
             self._ends.finish(item.request, "delivered" if how == DELIVERED else "void", due=due)
 
+    def call_began(self, request: str) -> None:
+        self._ends.call_began(request)
+
+    def call_over(self, request: str) -> None:
+        self._ends.call_over(request)
+
     def delivered_late(self, request: str, due: float) -> None:
         if self._b.requests.get(request) is not None:
             if self._b.observer is not None:
--- a/linkdock/sender/ends.py
+++ b/linkdock/sender/ends.py
@@ -17,6 +17,8 @@
     def __init__(self, books: Books) -> None:
         self._b = books
         self._over: dict[str, None] = {}  # those that ended last, in order
+        self._calls: dict[str, int] = {}  # calls that may be running, of requests of ordered classes
+        self._ended: set[str] = set()  # of these, whose record waits for the end of their calls
 
     def remembered(self, request: str) -> bool:
         """Whether it has ended already. Danger: a second message under its id, at whatever time."""
@@ -46,7 +48,7 @@
         if b.undeliverable is not None and request in b.undeliverable.again:
             self.over_again(request, how == "delivered")
         elif notice is None:
-            b.journal.end(request)
+            self._end_record(request)
         else:
             self.owe_notice(request, notice, how == "delivered")
         if b.observer is not None:
@@ -62,7 +64,7 @@
     def over_again(self, request: str, delivered: bool) -> None:
         """The end of one that was sent again: the store hears it, nobody else."""
         kept = self._b.journal.kept.get(request)
-        self._b.journal.end(request)  # it is held until the store has it
+        self._end_record(request)  # it is held until the store has it
         if kept is not None:
             self._b.undeliverable.over(kept, delivered)
 
@@ -76,6 +78,28 @@
 
     def confirmed(self, request: str) -> None:
         """The platform has heard how a request ended."""
-        self._b.journal.end(request)
+        self._end_record(request)
         if self._b.observer is not None:
             self._b.observer.confirmed(request)
+
+    # --- The turn of a key: it passes on with the end of the record, which other processes read as well.
+
+    def call_began(self, request: str) -> None:
+        """A call with this request goes out: its record stays until that cannot be running any more."""
+        self._calls[request] = self._calls.get(request, 0) + 1
+
+    def call_over(self, request: str) -> None:
+        """That call has ended at its server too."""
+        self._calls[request] -= 1
+        if self._calls[request]:
+            return
+        del self._calls[request]
+        if request in self._ended:
+            self._ended.discard(request)
+            self._b.journal.end(request)
+
+    def _end_record(self, request: str) -> None:
+        if request in self._calls:
+            self._ended.add(request)
+        else:
+            self._b.journal.end(request)
--- a/linkdock/sender/lives.py
+++ b/linkdock/sender/lives.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from ..facade import Take, Withdraw
+from ..facade import KeyHeld, Take, Withdraw
 from ..interface import Effect
+from ..protocol.calls import CLOSED
 from ..state.journal import MOST_MOVED, Kept
 from ..state.requests import Refused, Request
 from .books import Books
@@ -43,6 +44,7 @@
                     b.journal.end(kept.id)
                 continue
             if kept.notice is not None:
+                self._keep_turn(kept)
                 # What is in the store already stays as it is there; a kill may have come before.
                 self._ends.keep(kept.id, kept.notice, False)
                 b.notices.post(kept.notice)
@@ -55,6 +57,7 @@
                 if again:
                     self._ends.over_again(kept.id, False)
                     continue
+                self._keep_turn(kept)
                 self._ends.owe_notice(kept.id, {"id": kept.id, "status": "undeliverable"}, False)
                 if b.figures is not None:
                     b.figures.came += 1
@@ -62,7 +65,7 @@
                 if b.observer is not None:
                     b.observer.over(kept.id, "undeliverable", kept.until - unix)
                 continue
-            # Danger: a clock that was set back. No client is given more than the front lets it ask for.
+            # A clock may have been set back: no client is given more than the front lets it ask for.
             rest = min(max(0.0, kept.until - unix), longest)
             request = Request(
                 kept.id,
@@ -73,12 +76,10 @@
                 kept.body,
                 tenant=kept.tenant,
                 idempotency_key=kept.idempotency_key,
+                taken_at=kept.taken_at,
             )
-            try:
-                order = b.order_key(request)
-            except Refused as why:  # its class did not go in order when it was taken on
-                log.warning("%s goes in no order: %s", kept.id, why)
-                order = 0
+            order = self._key(kept)
+            request.ordered = order != 0
             b.requests.add(request)
             if b.figures is not None:
                 b.figures.came += 1
@@ -93,9 +94,27 @@
                     used=kept.used,
                     tenant=b.tenant(kept.tenant),
                     tries=kept.tries,
+                    taken_at=kept.taken_at,
                 )
             )
 
+    def _keep_turn(self, kept: Kept) -> None:
+        """One that ends by a notice keeps its key until that is confirmed, and the calls of its process have ended."""
+        b = self._b
+        key = self._key(kept)
+        if not key:
+            return
+        b.facade.report(KeyHeld(kept.id, key, kept.taken_at))
+        self._ends.call_began(kept.id)
+        b.after(CLOSED, lambda: self._ends.call_over(kept.id))
+
+    def _key(self, kept: Kept) -> int:
+        try:
+            return self._b.key_on_record(kept)
+        except Refused as why:  # its class did not go in order when it was taken on
+            log.warning("%s goes in no order: %s", kept.id, why)
+            return 0
+
     def resend(self, message: Message) -> bool:
         """Take one that could not be delivered on again, as new work with a deadline of its own; False where it cannot.
 
@@ -109,21 +128,39 @@
         if cls is None or keyed or busy or not b.table.knows(message.destination) or b.requests.get(message.id):
             return False
         left = b.rules.settings.classes[cls].deadline
-        kept = Kept(
-            message.id, message.key, message.cls, message.destination, time.time() + left, message.body, again=True
-        )
         request = Request(message.id, message.key, cls, message.destination, b.clock() + left, message.body)
         try:
             key = b.order_key(request)
         except Refused:
             return False
+        kept = Kept(
+            message.id,
+            message.key,
+            message.cls,
+            message.destination,
+            time.time() + left,
+            message.body,
+            again=True,
+            taken_at=request.taken_at,
+        )
         if not b.journal.take(kept):
             return False
         b.journal.hold(message.id)
         b.requests.add(request)
         if b.figures is not None:
             b.figures.came += 1
-        b.facade.report(Take(message.id, cls, message.destination, left, key, held=True, tenant=b.tenant("")))
+        b.facade.report(
+            Take(
+                message.id,
+                cls,
+                message.destination,
+                left,
+                key,
+                held=True,
+                tenant=b.tenant(""),
+                taken_at=request.taken_at,
+            )
+        )
         return True
 
     def hand_over(self, busy: Callable[[str], bool], give: Callable[[list[str]], bool]) -> None:
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -90,6 +90,7 @@
                 table.told = bool(servers)  # Danger: an empty one says nothing of what there is
                 facade.report(Table("kept", table.shown(servers), version))
         books = Books(config, clock, facade, self._journal, table)
+        books.after = self._wheel.after
         self.sender = Sender(books, self.spawn)
         idle_for = max(settings.idle_close - IDLE_MARGIN, settings.idle_close / 2)
         kept = switched.kept_pool(config, table, self._wheel, self.spawn, clock, idle_for)
--- a/linkdock/service/shift.py
+++ b/linkdock/service/shift.py
@@ -19,6 +19,7 @@
 from ..state import board as notes
 from ..state.board import Board, Fact, Reader
 from ..state.journal import Journal, Kept, owed
+from ..state.journal_reader import OtherJournals
 from ..state.succession import Left, Succession
 from ..state.table import ServerTable
 
@@ -44,6 +45,8 @@
         self._succession = Succession(config.state)
         self._board = Board(self._succession.board(self._succession.number))
         self._others: dict[int, Reader | None] = {}
+        self._journals = OtherJournals(lambda number: config.state / f"journal.{number}", self._is_ordered)
+        self._ordered = any(cls.in_order for cls in config.settings.classes)
         self._state = notes.STARTING
         self._handed, self._batches = False, 0
         self._learned_from: int | None = None
@@ -69,6 +72,10 @@
         table.heard = self._wait_told
         self.beat()
 
+    def _is_ordered(self, name: str) -> bool:
+        cls = self._config.classes.get(name)
+        return cls is not None and self._config.settings.classes[cls].in_order
+
     # --- Who lives.
 
     def look(self) -> None:
@@ -110,6 +117,8 @@
                 else:
                     self._tell_again()
         self._others = {number: self._others[number] for number in alive}
+        if self._ordered:
+            self._journals.follow(alive)
         older = any(number < self._succession.number for number in alive)
         self.journal.hold_at_most(*(YOUNGER_PARTS if older else ELDER_PARTS if alive else ALONE_PARTS))
 
@@ -179,6 +188,8 @@
         """Once a tick, before the decisions' pass."""
         # Also alone: who comes reads it before this process has seen that somebody came.
         self._board.figures(notes.Figures(self._sender.calls_out(), self._sender.open(), self._state))
+        if len(self._journals):
+            self._follow_keys()
         if not self._others:
             return
         calls = opened = 0
@@ -188,6 +199,12 @@
                 calls, opened = calls + reader.figures.calls, opened + reader.figures.open
         self._together(calls, opened)
 
+    def _follow_keys(self) -> None:
+        """Before the decisions' pass: what other processes took on earlier must be known to it."""
+        changes = self._journals.poll(self.journal.kept)
+        self.journal.seen(kept.taken_at for kept in changes.held)
+        self._sender.held_elsewhere(changes)
+
     def _hear(self, number: int, reader: Reader) -> None:
         """Take in what another process has told, and tell on what came from an older one.
 
@@ -274,5 +291,6 @@
             if reader is not None:
                 reader.close()
         self._board.close()
+        self._journals.close()
         self.journal.close()
         self._succession.close()
--- a/linkdock/state/journal.py
+++ b/linkdock/state/journal.py
@@ -13,8 +13,9 @@
 import logging
 import os
 import struct
+import time
 import zlib
-from collections.abc import Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 
@@ -32,6 +33,8 @@
 LIVE_PART = 0.35  # which holds what is owed; a take beyond this is denied
 ROOM_TO_END = 0.1  # beside what is owed, which the file may take in any case
 MOST_RECORD = 1 << 20
+EARLIEST = 1e-6  # when a message was taken whose record says nothing of it: before all others, in their order
+STAMP_STEP = 1e-6  # seconds by which two stamps of one process differ at least
 CLOSED = -1  # in place of the descriptor, once it is let go of
 
 
@@ -52,6 +55,7 @@
     again: bool = False  # sent again from the store of undeliverable messages
     idempotency_key: str = ""
     tenant: str = ""
+    taken_at: float = EARLIEST  # by which the messages of one key go in order; see `Journal.stamp`
 
     def size(self) -> int:
         return len(self.body) + 256
@@ -112,11 +116,11 @@
     head.setdefault("tries", head.get("used", 0))  # older versions counted no tries
     kept = Kept(**head, body=body, doubt=set(doubt))
     numbers = (kept.destination, kept.used, kept.tries, *doubt)
+    times = (kept.until, kept.taken_at)
     if not (
         all(isinstance(word, str) for word in (kept.id, kept.key, kept.cls, kept.tenant, kept.idempotency_key))
         and all(map(_number, numbers))
-        and type(kept.until) in (int, float)
-        and abs(kept.until) < MOST_NUMBER
+        and all(type(time) in (int, float) and abs(time) < MOST_NUMBER for time in times)
         and (kept.notice is None or _notice(kept.id, kept.notice))
     ):
         raise ValueError("a message with values out of range")
@@ -179,6 +183,9 @@
         self._disk_bytes = disk_bytes
         self.hold_at_most(FILE_PART, LIVE_PART)
         self.kept: dict[str, Kept] = {}
+        self.on_end: Callable[[str], None] = lambda request: None  # called once a record has ended here
+        self._moved = b""  # what says which messages another journal owes, for who reads this one
+        self._latest = EARLIEST  # the last stamp that is known here
         self._holds: dict[str, bool] = {}  # what is not to be let go of yet: whether its end has come
         self._live, self._torn = 0, False
         # A rewrite that the end of the process cut short: the old file still holds everything.
@@ -192,12 +199,27 @@
         data = self._path.read_bytes()
         self.kept, at = replay(self._path, data)
         self._live = sum(kept.size() for kept in self.kept.values())
+        self.seen(kept.taken_at for kept in self.kept.values())
         if at < len(data):
             # Danger: a record torn by SIGKILL. What follows it is unreadable, so that new ones must not.
             log.warning("journal: cut off %d torn bytes", len(data) - at)
             os.ftruncate(self._file, at)
         return at
 
+    # --- Order.
+
+    def stamp(self) -> float:
+        """The moment at which a message is taken (Unix time), later than every stamp that was seen.
+
+        A clock that is set back cannot put a message before those that were taken earlier.
+        """
+        self._latest = max(time.time(), self._latest + STAMP_STEP)
+        return self._latest
+
+    def seen(self, stamps: Iterable[float]) -> None:
+        """Stamps of messages that were taken before the next one here."""
+        self._latest = max(self._latest, max(stamps, default=EARLIEST))
+
     # --- Writing.
 
     def hold_at_most(self, file_part: float, live_part: float) -> None:
@@ -224,6 +246,8 @@
         }
         if kept.again:
             head["again"] = True
+        if kept.taken_at != EARLIEST:
+            head["taken_at"] = kept.taken_at
         for name in ("idempotency_key", "tenant"):
             if value := getattr(kept, name):
                 head[name] = value
@@ -258,7 +282,7 @@
 
     def _compact(self) -> bool:
         """Rewrite the file with what is owed; the old one stays until the new one is whole."""
-        data = b"".join(map(self._take_record, self.kept.values()))
+        data = b"".join(map(self._take_record, self.kept.values())) + self._moved
         fresh = None
         try:
             # Danger: descriptors that have run out. The new file is written by the one that it is kept open with, so
@@ -305,6 +329,7 @@
             self.kept = before
             return False
         self._live += sum(kept.size() for kept in fresh.values())
+        self.seen(kept.taken_at for kept in fresh.values())
         return True
 
     def hand_over(self, requests: list[str], beside: Path, path: Path) -> bool:
@@ -325,9 +350,11 @@
             log.error("journal: nothing is handed over: %s", bad)
             _remove(beside)
             return False
-        if not self._append(self._record(MOVED, {"in": beside.name, "ids": requests})):
+        moved = self._record(MOVED, {"in": beside.name, "ids": requests})
+        if not self._append(moved):
             _remove(beside)
             return False
+        self._moved += moved
         try:
             os.replace(beside, path)
         except OSError as bad:
@@ -343,6 +370,8 @@
         done = self._append(self._record(kind, head))
         if done or kind in (NOTICE, END):  # an end that could not be written is at worst told again
             self._live += apply(self.kept, kind, head, b"")
+        if kind == END:
+            self.on_end(head["id"])
         return done
 
     def sent(self, request: str, attempt: int) -> bool:
--- /dev/null
+++ b/linkdock/state/journal_reader.py
@@ -0,0 +1,169 @@
+"""What the other processes of this sender hold of ordered keys, read from their journals.
+
+A message keeps its key's turn while its record stands in a journal, whichever process owns that journal. A process
+puts a message on record before it answers the client, and a client hands in the next message of a key only after that
+answer. So whoever reads the other journals in the tick in which it dispatches has seen all that was taken earlier.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Callable, Container, Iterable
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from .journal import END, MOVED, SPOILT, TAKE, Kept, apply, records
+
+MOST_UNREADABLE = 3  # polls on end after which a record that cannot be read is passed over: it is not being written
+
+
+@dataclass(slots=True)
+class KeyChanges:
+    """What has changed since the last poll: messages that another process holds, and those that have ended."""
+
+    held: list[Kept] = field(default_factory=list)
+    ended: list[str] = field(default_factory=list)
+
+
+class JournalReader:
+    """Follows the journal of one other process while that process writes it."""
+
+    def __init__(self, path: Path, is_ordered: Callable[[str], bool]) -> None:
+        self.path = path
+        self.open: dict[str, Kept] = {}  # messages of ordered classes that have not ended, by id
+        self._is_ordered = is_ordered
+        self._moved: set[str] = set()  # of these, what was handed to another journal, where its end will stand
+        self._file: int | None = None
+        self._inode = 0
+        self._offset = 0
+        self._unreadable = 0  # polls on end that met a record that cannot be read
+
+    def poll(self) -> KeyChanges:
+        """What was written since the last poll. Raises OSError where the file is not there or cannot be read."""
+        inode = os.stat(self.path).st_ino
+        rewritten = inode != self._inode
+        if rewritten:
+            self._reopen(inode)
+        data = self._unread()
+        if not data and not rewritten:
+            return KeyChanges()
+        # A rewritten journal holds no ends: what it leaves out has ended.
+        now_open = {} if rewritten else dict(self.open)
+        moved = set(self._moved)
+        size = self._replay(data, now_open, moved)
+        if size is None:
+            self._inode = 0  # the next poll reads the whole file
+            return KeyChanges()
+        self._offset += size
+        return self._adopt(now_open, moved)
+
+    def forget(self, request: str) -> None:
+        """The message has ended in another journal."""
+        self.open.pop(request, None)
+        self._moved.discard(request)
+
+    def close(self) -> None:
+        """Let go of the file."""
+        if self._file is not None:
+            os.close(self._file)
+            self._file = None
+
+    def _reopen(self, inode: int) -> None:
+        self.close()
+        self._inode = 0
+        self._file = os.open(self.path, os.O_RDONLY)
+        self._inode = inode
+        self._offset = 0
+
+    def _unread(self) -> bytes:
+        size = os.fstat(self._file).st_size
+        return os.pread(self._file, size - self._offset, self._offset) if size > self._offset else b""
+
+    def _replay(self, data: bytes, now_open: dict[str, Kept], moved: set[str]) -> int | None:
+        """Apply whole records; how many bytes they take, or None where one cannot be read yet."""
+        size = 0
+        for end, kind, text, _ in records(data):
+            if kind == SPOILT and self._unreadable < MOST_UNREADABLE:
+                self._unreadable += 1
+                return None
+            size = end
+            try:
+                self._take_in(kind, json.loads(text) if text else {}, now_open, moved)
+            except (ValueError, TypeError, KeyError, AttributeError, RecursionError):
+                continue  # its owner passes over it as well
+        self._unreadable = 0
+        return size
+
+    def _take_in(self, kind: bytes, head: dict, now_open: dict[str, Kept], moved: set[str]) -> None:
+        if kind == MOVED:
+            moved.update(request for request in head["ids"] if request in now_open or request in self.open)
+        elif kind == END or kind == TAKE and self._is_ordered(head["cls"]):
+            apply(now_open, kind, head, b"")
+
+    def _adopt(self, now_open: dict[str, Kept], moved: set[str]) -> KeyChanges:
+        for request in moved & self.open.keys():
+            now_open.setdefault(request, self.open[request])
+        changes = KeyChanges(
+            held=[kept for request, kept in now_open.items() if request not in self.open],
+            ended=[request for request in self.open if request not in now_open],
+        )
+        self.open = now_open
+        self._moved = moved & now_open.keys()
+        return changes
+
+
+class OtherJournals:
+    """The journals of the other processes of this sender, alive or not yet taken up."""
+
+    def __init__(self, path_of: Callable[[int], Path], is_ordered: Callable[[str], bool]) -> None:
+        self._path_of = path_of
+        self._is_ordered = is_ordered
+        self._alive: set[int] = set()
+        self._readers: dict[int, JournalReader] = {}
+
+    def __len__(self) -> int:
+        return len(self._readers)
+
+    def follow(self, alive: Iterable[int]) -> None:
+        """These processes live. One that has ended is followed until its journal is gone."""
+        self._alive = set(alive)
+        for number in self._alive - self._readers.keys():
+            self._readers[number] = JournalReader(self._path_of(number), self._is_ordered)
+
+    def poll(self, own: Container[str]) -> KeyChanges:
+        """What has changed in all of them. `own`: the ids on record in this process's journal, which tell of them."""
+        changes = KeyChanges()
+        for number, reader in list(self._readers.items()):
+            try:
+                found = reader.poll()
+            except FileNotFoundError:
+                if number not in self._alive:
+                    self._drop(number, own, changes)
+                continue
+            except OSError:  # no descriptor is free, for one: read at a later poll
+                continue
+            changes.held += [kept for kept in found.held if kept.id not in own]
+            for request in found.ended:
+                self._ended(request, own, changes)
+        return changes
+
+    def _ended(self, request: str, own: Container[str], changes: KeyChanges) -> None:
+        for reader in self._readers.values():
+            reader.forget(request)
+        if request not in own:
+            changes.ended.append(request)
+
+    def _drop(self, number: int, own: Container[str], changes: KeyChanges) -> None:
+        """Its journal has been taken up. What nobody holds now has ended meanwhile."""
+        reader = self._readers.pop(number)
+        reader.close()
+        for request in reader.open:
+            if request not in own and not any(request in other.open for other in self._readers.values()):
+                changes.ended.append(request)
+
+    def close(self) -> None:
+        """Let go of all files."""
+        for reader in self._readers.values():
+            reader.close()
+        self._readers.clear()
--- a/linkdock/state/requests.py
+++ b/linkdock/state/requests.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 from ..errors import LinkdockError
+from .journal import EARLIEST
 
 
 class Refused(LinkdockError, ValueError):
@@ -59,6 +60,7 @@
     answer: Callable[[Answer], bool] | None = None
     tenant: str = ""  # whose share it counts against, where the settings name tenants
     idempotency_key: str = ""  # by which a server drops repeats, where its client named one
+    taken_at: float = EARLIEST  # by which the messages of its key go in order, over all processes of this sender
     client: int = 0  # the number of the connection that it came on, for the record
     sent: dict[int, float] = field(default_factory=dict)  # attempts that may have run: when each went out
 
--- a/tests/succession_child.py
+++ b/tests/succession_child.py
@@ -59,7 +59,7 @@
 
 if not sys.argv[3:]:
     faults()
-process = shift.Shift(SimpleNamespace(state=FOLDER, disk_mb=3.0), lambda: 0.0)
+process = shift.Shift(SimpleNamespace(state=FOLDER, disk_mb=3.0, settings=SimpleNamespace(classes=[])), lambda: 0.0)
 if sys.argv[3:]:
     faults()
     assert process.hand_over(sys.argv[3:])
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -19,7 +19,7 @@
 from linkdock.state.succession import Succession, numbered
 from linkdock.state.table import ServerTable
 
-CONFIG = {"disk_mb": 3.0, "settings": SimpleNamespace(slots=4, max_open=9)}
+CONFIG = {"disk_mb": 3.0, "settings": SimpleNamespace(slots=4, max_open=9, classes=[])}
 
 
 def kept(name, **more):
