--- a/linkdock/decisions/dispatch.py
+++ b/linkdock/decisions/dispatch.py
@@ -40,10 +40,12 @@
         if dest.waiting.pop(m.id, None) is not None and not dest.waiting:
             del self.hot[m.dest]
 
-    def give_up_at(self, m: Msg) -> float:
-        """The last moment at which a usual call still fits, or the window of a keyed message closes."""
+    def usual_call(self, m: Msg) -> float:
         times = (self.call_time(k.route, m.cls) for k in self.dests[m.dest].links if k.ready)
-        usual = min(times, default=self.usual[m.cls].x)
+        return min(times, default=self.usual[m.cls].x)
+
+    def give_up_at(self, m: Msg, usual: float) -> float:
+        """The last moment at which a usual call still fits, or the window of a keyed message closes."""
         at = m.deadline - max(usual, 2 * self.s.tick)
         bound = m.doubt is not None and m.rules.effect is Effect.KEYED
         return min(at, m.doubt + m.rules.window - 2 * self.s.tick) if bound else at
@@ -52,14 +54,16 @@
         """Answer what can no longer make it, at once; a full store gives up what is worth least."""
         if self.now >= self.sweep_at:
             self.sweep_at = inf
+            usual: dict[tuple[int, int], float] = {}  # one for all of a class and destination
             for m in self.waiting():
-                if (at := self.give_up_at(m)) <= self.now:
+                if (kind := (m.dest, m.cls)) not in usual:
+                    usual[kind] = self.usual_call(m)
+                if (at := self.give_up_at(m, usual[kind])) <= self.now:
                     self.give_up(m)
                 else:
                     self.sweep_at = min(self.sweep_at, at)
         excess = len(self.msgs) - max(1, int(ROOM * self.s.max_open))
         if excess > 0:
-            # A full store turns away the next whatever its worth; choose instead.
             at = {number: self.now + self.wait_for(dest) for number, dest in self.hot.items()}
             spare = [m for m in self.waiting() if self.refusable(m) and not self.trusted(m)]
             for m in heapq.nsmallest(excess, spare, key=lambda m: (self.worth(m, at[m.dest]), -m.id)):
@@ -127,19 +131,19 @@
         bound = m.doubt is not None and m.rules.effect is Effect.KEYED and m.rules.group == "zone"
         return not bound or link.entry.zone == m.doubt_zone
 
-    def candidate(self, dest: Dest) -> tuple[float, Msg, Link] | None:
+    def candidate(self, dest: Dest, share: float) -> tuple[float, Msg, Link] | None:
         """The message of one destination that loses most by waiting behind its peers, and its link."""
         opens = [(self.open_at(k), k) for k in dest.links if k.ready]
         open_links = [k for at, k in opens if at <= self.now]
         self.due = min([self.due, *(at for at, _ in opens if at > self.now)])
-        if not open_links:
+        if not open_links or dest.out >= max(1, int(self.s.slots * (share * (1 - dest.lost)))):
             return None
+        open_links.sort(key=self.preference)
         behind = min(max(self.wait_for(dest), 0.2), 10.0)
         best, best_rank = None, -inf
         for m in dest.waiting.values():
-            links = [k for k in open_links if self.fits(m, k)] if self.turn(m) else None
-            if links:
-                link = min(links, key=self.preference)
+            link = next((k for k in open_links if self.fits(m, k)), None) if self.turn(m) else None
+            if link:
                 rank = self.rank(m, link, behind)
                 if rank > best_rank:
                     best, best_rank = (rank, m, link), rank
@@ -173,16 +177,15 @@
         """Fill the free slots with what earns most, no destination beyond its share."""
         self.send_probes()
         free, waiting = self.s.slots - self.busy, list(self.hot)
-        best = {n: found for n in waiting if free > 0 and (found := self.candidate(self.dests[n]))}
+        share = SHARE if len(waiting) > 1 else SHARE_ALONE
+        best = {n: found for n in waiting if free > 0 and (found := self.candidate(self.dests[n], share))}
         while free > 0 and best:
             n = max(best, key=lambda k: best[k][0])
             (_, m, link), dest = best.pop(n), self.dests[n]
-            share = (SHARE if len(waiting) > 1 else SHARE_ALONE) * (1 - dest.lost)
-            if dest.out < max(1, int(self.s.slots * share)):
-                self.send(m, link, dest)
-                free -= 1
-                if dest.waiting and (found := self.candidate(dest)):
-                    best[n] = found
+            self.send(m, link, dest)
+            free -= 1
+            if dest.waiting and (found := self.candidate(dest, share)):
+                best[n] = found
 
     def send(self, m: Msg, link: Link, dest: Dest) -> None:
         company, call = self.company(m, link, dest), Call(link, self.now)
--- a/linkdock/decisions/relay.py
+++ b/linkdock/decisions/relay.py
@@ -147,7 +147,7 @@
             self.kinds[link.entry.kind][1] += 1
         if m.key:
             self.enqueue(m)
-        self.sweep_at = min(self.sweep_at, self.give_up_at(m))
+        self.sweep_at = min(self.sweep_at, self.give_up_at(m, self.usual_call(m)))
 
     def on_outcome(self, o: i.Outcome) -> None:
         m, call = self.calls.pop((o.id, o.attempt), (None, None))
@@ -179,9 +179,9 @@
         elif o.result is Result.OK or o.finished:
             self.end(m)
         else:
-            spent = m.tries >= self.s.max_attempts or self.give_up_at(m) <= self.now
+            spent = m.tries >= self.s.max_attempts or self.give_up_at(m, self.usual_call(m)) <= self.now
             if spent or m.doubt is not None and m.rules.effect is Effect.UNSAFE:
                 self.give_up(m)
             else:
                 self.wait(m, self.dests[m.dest])
-                self.sweep_at = min(self.sweep_at, self.give_up_at(m))
+                self.sweep_at = min(self.sweep_at, self.give_up_at(m, self.usual_call(m)))
