--- a/linkdock/console/main.py
+++ b/linkdock/console/main.py
@@ -12,7 +12,7 @@
 import click
 
 from .. import __version__
-from .refusals import MissingPackages, NothingFound, refusal
+from .refusals import MissingPackagesError, NothingFoundError, refusal
 from .undeliverable import undeliverable
 
 USAGE = 2
@@ -59,10 +59,12 @@
         raise refusal(bad) from None
     if not report["senders"]:
         raise refusal(
-            NothingFound(f"no event in {', '.join(map(str, files))}" + (f"; {passed.named[0]}" if passed.named else ""))
+            NothingFoundError(
+                f"no event in {', '.join(map(str, files))}" + (f"; {passed.named[0]}" if passed.named else "")
+            )
         )
     if message is not None and not story:
-        raise refusal(NothingFound(f"no event of message {message}"))
+        raise refusal(NothingFoundError(f"no event of message {message}"))
     report["found"], cut = report["found"][:most], len(report["found"][most:]) + report["unnamed"]
     report["unnamed"] = cut
     if as_json:
@@ -98,7 +100,7 @@
     try:
         view = importlib.import_module(f"..{package}.view", __package__)
     except ImportError as bad:
-        raise refusal(MissingPackages("requirements-console.txt", bad)) from None
+        raise refusal(MissingPackagesError("requirements-console.txt", bad)) from None
     try:
         told = view.read(file, *more)
     except ValueError as bad:
@@ -146,7 +148,7 @@
         from ..lab import idle as experiment
         from ..lab import results
     except ImportError as bad:
-        raise refusal(MissingPackages("requirements-lab.txt", bad, "the laboratory")) from None
+        raise refusal(MissingPackagesError("requirements-lab.txt", bad, "the laboratory")) from None
     options = {"destinations": destinations, "wake": wake, "seeds": seeds, "process": process, "jobs": jobs}
     try:
         plan = results.read_plan(file, experiment.Plan, {k: v for k, v in options.items() if v is not None})
@@ -247,7 +249,7 @@
         experiment = importlib.import_module(f"..lab.{name}", __package__)
         from ..lab import results
     except ImportError as bad:
-        raise refusal(MissingPackages("requirements-lab.txt", bad, "the laboratory")) from None
+        raise refusal(MissingPackagesError("requirements-lab.txt", bad, "the laboratory")) from None
     try:
         plan = results.read_plan(file, experiment.Plan, {k: v for k, v in options.items() if v is not None})
     except ValueError as bad:
--- a/linkdock/console/refusals.py
+++ b/linkdock/console/refusals.py
@@ -7,7 +7,7 @@
 from ..errors import LinkdockError, exit_line
 
 
-class MissingPackages(LinkdockError):
+class MissingPackagesError(LinkdockError):
     """A library that this command needs is not installed."""
 
     code = "LD-COMMAND-PACKAGES"
@@ -19,7 +19,7 @@
         super().__init__(f"{who} needs the packages of {file}: {bad}")
 
 
-class NothingFound(LinkdockError):
+class NothingFoundError(LinkdockError):
     """What was asked for is not in the file."""
 
     code = "LD-COMMAND-NOTHING"
@@ -27,7 +27,7 @@
     remedy = "Look at the id, and whether the file is that of the right sender and time"
 
 
-class BadUse(LinkdockError):
+class BadUseError(LinkdockError):
     """Options that do not go together, or a folder that is not there."""
 
     code = "LD-COMMAND-USE"
--- a/linkdock/console/undeliverable.py
+++ b/linkdock/console/undeliverable.py
@@ -14,7 +14,7 @@
 import click
 
 from ..errors import LinkdockError
-from .refusals import BadUse, MissingPackages, NothingFound, refusal
+from .refusals import BadUseError, MissingPackagesError, NothingFoundError, refusal
 
 AGE = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,6})?)([smhd])\Z")
 SECONDS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -81,7 +81,7 @@
     try:
         from ..undeliverable.store import Store, StoreError
     except ImportError as bad:
-        raise refusal(MissingPackages("requirements-console.txt", bad)) from None
+        raise refusal(MissingPackagesError("requirements-console.txt", bad)) from None
     try:
         if write and not path.exists():
             raise StoreError(f"{path}: no such file")
@@ -98,7 +98,7 @@
         try:
             command(*words, **options)
         except ImportError as bad:
-            raise refusal(MissingPackages("requirements-console.txt", bad)) from None
+            raise refusal(MissingPackagesError("requirements-console.txt", bad)) from None
         except LinkdockError as bad:
             raise refusal(bad) from None
 
@@ -172,7 +172,7 @@
     told = [plain(m, said, body=True) for m, said in store.find(Filter(id=name, state=None))]
     store.close()
     if not told:
-        raise refusal(NothingFound(f"{file}: no message {name}"))
+        raise refusal(NothingFoundError(f"{file}: no message {name}"))
     click.echo(json.dumps(told, indent=2))
 
 
@@ -200,13 +200,13 @@
     from ..undeliverable.store import Filter
 
     if proof is None:
-        raise refusal(BadUse("say --never-ran or --ran"))
+        raise refusal(BadUseError("say --never-ran or --ran"))
     if not why.strip() or not who.strip():
-        raise refusal(BadUse("--who and --why must say something"))
+        raise refusal(BadUseError("--who and --why must say something"))
     store = opened(file, write=True)
     doubtful = [m for m, _ in store.find(Filter(id=name, doubt=True))]
     if not doubtful:
-        raise refusal(NothingFound(f"{file}: no message {name} that is in doubt"))
+        raise refusal(NothingFoundError(f"{file}: no message {name} that is in doubt"))
     for message in doubtful:
         store.state(message, Statement(who=who, why=why, at=time.time(), proof=proof, upto=len(message.attempts)))
     store.close()
@@ -267,7 +267,7 @@
 def export(file: Path, to: Path, which) -> None:
     """Write messages with their bodies to TO: JSON Lines, or Parquet if its name ends with .parquet."""
     if not to.absolute().parent.is_dir():
-        raise refusal(BadUse(f"{to}: no such folder"))
+        raise refusal(BadUseError(f"{to}: no such folder"))
     store = opened(file)
     rows = (plain(m, said, body=True) for m, said in store.find(which))
     count = 0
@@ -276,7 +276,7 @@
             import pyarrow as pa
             import pyarrow.parquet as pq
         except ImportError as bad:
-            raise refusal(MissingPackages("requirements-lab.txt", bad, "Parquet")) from None
+            raise refusal(MissingPackagesError("requirements-lab.txt", bad, "Parquet")) from None
         flat = [
             {**row, "attempts": json.dumps(row["attempts"]), "statements": json.dumps(row["statements"])}
             for row in rows
--- a/linkdock/lab/processes/stories.py
+++ b/linkdock/lab/processes/stories.py
@@ -26,7 +26,7 @@
 MOST = 240.0  # seconds of a story
 
 
-class Wrong(LinkdockError):
+class StoryFailedError(LinkdockError):
     """The story went otherwise than it must."""
 
     code = "LD-LAB-STORY"
@@ -35,9 +35,9 @@
 
 
 def must(true: object, text: str) -> None:
-    """Raise Wrong with `text` unless `true`."""
+    """Raise StoryFailedError with `text` unless `true`."""
     if not true:
-        raise Wrong(text)
+        raise StoryFailedError(text)
 
 
 def others(fleet: Fleet, name: str) -> list[str]:
@@ -366,7 +366,7 @@
             figures["start s"] = round(time.monotonic() - began, 3)
             try:
                 figures |= await STORIES[name](fleet, luck)
-            except Wrong as wrong:
+            except StoryFailedError as wrong:
                 found.append(f"story: {wrong}")
             await fleet.make_good()
             must(await fleet.committed(WITHIN, "last") is not None, "no commit at the end")
--- a/linkdock/protocol/admin.py
+++ b/linkdock/protocol/admin.py
@@ -29,7 +29,7 @@
 ID = re.compile(r"[!-~]{1,200}\Z")
 
 
-class Refusal(LinkdockError):
+class RefusalError(LinkdockError):
     """A call that is answered with a no, and its cause."""
 
     code = "LD-OPERATOR-NO"
@@ -38,7 +38,7 @@
 
 
 class Desk(Protocol):
-    """Who carries the calls out. Each raises Refusal for a no, and returns what the yes says."""
+    """Who carries the calls out. Each raises RefusalError for a no, and returns what the yes says."""
 
     def status(self) -> str: ...
 
@@ -83,7 +83,7 @@
         return b"-ERR an id is printable ASCII, at most 200 bytes\n"
     try:
         said = getattr(desk, method)(*rest)
-    except Refusal as why:
+    except RefusalError as why:
         if name != "status":  # Danger: on standby it says no as often as anybody looks
             log.info("the call %s: %s", name, log_line(why))
         return f"-ERR {why}\n".encode()
--- a/linkdock/protocol/discovery.py
+++ b/linkdock/protocol/discovery.py
@@ -17,7 +17,7 @@
 from ..state.roster import Roster
 from ..state.wheel import Timer, Wheel
 from . import http
-from .listing import BadList, ListReader, Rows
+from .listing import BadListError, ListReader, Rows
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
 MOST_FIGURE = 1e38  # of a share or a time
 
 
-class BadRow(LinkdockError, ValueError):
+class BadRowError(LinkdockError, ValueError):
     """A row of a list that cannot be read."""
 
     code = "LD-DISCOVERY-ROW"
@@ -40,7 +40,7 @@
     remedy = "Correct the row where the list is made; until then the sender goes on without it"
 
 
-class LongList(LinkdockError):
+class LongListError(LinkdockError):
     """A whole list that is longer than there is room for."""
 
     code = "LD-DISCOVERY-LONG"
@@ -54,20 +54,20 @@
     address, _, port = row["dial"].rpartition(":")
     # Danger: what only fails later, in the table or when it is connected to, takes the rest of its list with it.
     if not name or not address.isprintable() or not address.isascii() or not address:
-        raise BadRow(f"host {name!r:.60}, dial {address!r:.60}")
+        raise BadRowError(f"host {name!r:.60}, dial {address!r:.60}")
     name.encode()
     health = row["health"]
     if health not in ("ready", "draining", "gone"):
-        raise BadRow(f"health {health!r}")
+        raise BadRowError(f"health {health!r}")
     number = int(port)
     if not 0 <= number <= 65535:
-        raise BadRow(f"port {port}")
+        raise BadRowError(f"port {port}")
     destination = int(row["block"])
     if not -(1 << 63) <= destination < 1 << 63 or isinstance(row["block"], float) and destination != row["block"]:
-        raise BadRow(f"block {row['block']}")
+        raise BadRowError(f"block {row['block']}")
     share, born = float(row.get("share", 1.0)), float(row.get("born_ms", 0)) / 1000
     if not (abs(share) < MOST_FIGURE and abs(born) < MOST_FIGURE):
-        raise BadRow(f"share {share}, born {born}")
+        raise BadRowError(f"share {share}, born {born}")
     return Server(
         name,
         (address, number),
@@ -89,7 +89,7 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as bad:
             passed += 1
             if passed <= MOST_PASSED:
-                log.warning("discovery: %s", log_line(BadRow(f"a line was passed over: {row!r:.200}: {bad}")))
+                log.warning("discovery: %s", log_line(BadRowError(f"a line was passed over: {row!r:.200}: {bad}")))
             elif passed == MOST_PASSED + 1:
                 log.warning("discovery: more lines were passed over, which are not named")
     return servers
@@ -98,14 +98,14 @@
 def read_news(told: object, zones: list[str], kinds: list[str]) -> tuple[bool, list[Server], int]:
     """A list as the configuration holds it: whether it is whole, its rows, its version."""
     if not isinstance(told, dict) or not isinstance(told.get("hosts"), list):
-        raise BadList("no list of hosts")
+        raise BadListError("no list of hosts")
     servers = read_rows(told["hosts"], zones, kinds)
     if not isinstance(told.get("seq", 0), int):
-        raise BadList("seq is no whole number")
+        raise BadListError("seq is no whole number")
     return bool(told.get("whole")), servers, told.get("seq", 0)
 
 
-class OldList(LinkdockError, ValueError):
+class OldListError(LinkdockError, ValueError):
     """A whole list of a version before the one that is known."""
 
     code = "LD-DISCOVERY-OLD"
@@ -159,7 +159,7 @@
 
     def _refuse(self, why: str) -> None:
         """Danger: half a list in force. What cannot be held whole is not taken at all."""
-        log.error("discovery: %s", log_line(LongList(f"a whole list was refused: {why}; the list in force stays")))
+        log.error("discovery: %s", log_line(LongListError(f"a whole list was refused: {why}; the list in force stays")))
         self._refused, self._roster, self._untold = True, None, []
 
     def told(self, whole: bool, version: int, oldest: float = -inf) -> None:
@@ -169,7 +169,7 @@
             self.rows(untold, whole)
         if not self._refused:
             if whole and version < oldest:
-                raise OldList(f"a whole list of version {version} is older than {oldest}")
+                raise OldListError(f"a whole list of version {version} is older than {oldest}")
             if whole:
                 self._desk.whole(self._roster or Roster(), version)
             else:
@@ -209,7 +209,7 @@
             self._served = False
             try:
                 await self._watch()
-            except OldList as old:
+            except OldListError as old:
                 # Danger: a replica that lags would bring back what drains or is gone. Told once more it is no lag:
                 # discovery has begun anew.
                 self._old = True
--- a/linkdock/protocol/frontend.py
+++ b/linkdock/protocol/frontend.py
@@ -217,7 +217,7 @@
                     if not await self._command(stream, place, parser, words):
                         why = "told to"
                         return
-                except (Refused, resp.Oversize) as bad:
+                except (Refused, resp.OversizeError) as bad:
                     place.errors += 1
                     await self._written(stream, resp.error(f"ERR {bad}"))
                     if place.errors >= MOST_ERRORS:
@@ -226,7 +226,7 @@
                     self._put(place, BAD)
                     await self._wheel.pause(PENALTY * place.errors)
                     self._put(place, BUSY)
-        except resp.Malformed as bad:
+        except resp.MalformedError as bad:
             why = "malformed"
             if not stream.closed():
                 stream.write(resp.error(f"ERR Protocol error: {bad}"))
@@ -337,7 +337,7 @@
                 there = behind is not None
                 if there and (behind or parser.partial):
                     parser.behind(behind)
-            except resp.Malformed:
+            except resp.MalformedError:
                 there = False
             if there:
                 writes.append(stream.write(resp.answer(said)))
@@ -356,7 +356,7 @@
         await answered  # its deadline is the desk's: every request is answered at its next tick
         if not writes:
             await read  # raises if the client has gone
-            raise resp.Malformed("too much behind one command")
+            raise resp.MalformedError("too much behind one command")
         return writes[0]
 
     def _ask(self, words: list[bytes], answer: Callable, place: Place) -> None:
--- a/linkdock/protocol/listing.py
+++ b/linkdock/protocol/listing.py
@@ -23,7 +23,7 @@
 _DECODER = json.JSONDecoder()
 
 
-class BadList(LinkdockError, ValueError):
+class BadListError(LinkdockError, ValueError):
     """Bytes that are no list. What follows them cannot be read either."""
 
     code = "LD-DISCOVERY-LIST"
@@ -60,16 +60,16 @@
     def feed(self, data: bytes) -> Iterator[Rows | Told]:
         """Danger: bytes that are no list. What came ahead of them in the same piece counts, and is handed on first."""
         parts: list[Rows | Told] = []
-        fault: BadList | None = None
+        fault: BadListError | None = None
         try:
             self._text += self._decode(data)
         except UnicodeDecodeError as bad:
             self._text += bad.object[: bad.start].decode()
-            fault = BadList(f"no UTF-8: {bad}")
+            fault = BadListError(f"no UTF-8: {bad}")
         try:
             while self._step(parts):
                 pass
-        except BadList as bad:
+        except BadListError as bad:
             fault = bad
         yield from parts
         if fault is not None:
@@ -83,22 +83,22 @@
         if not text:
             return False
         if text[0] != "{":
-            raise BadList(f"no list of hosts: {text[:60]!r}")
+            raise BadListError(f"no list of hosts: {text[:60]!r}")
         found = _HOSTS.search(text)
         if found is None:
             _, end = self._decoded(text, MOST_REST)
             if end:
-                raise BadList(f"no list of hosts: {text[:60]!r}")
+                raise BadListError(f"no list of hosts: {text[:60]!r}")
             return False
         self._head, self._text = text[: found.end()], text[found.end() :]
         if len(self._head) > MOST_REST:
-            raise BadList("a line that is too long before its rows")
+            raise BadListError("a line that is too long before its rows")
         try:
             self._whole = whole = json.loads(self._head + "]}").get("whole")
         except (ValueError, RecursionError) as bad:
-            raise BadList(f"no list: {bad}") from None
+            raise BadListError(f"no list: {bad}") from None
         if whole is not None and not isinstance(whole, bool):
-            raise BadList("`whole` is neither true nor false")
+            raise BadListError("`whole` is neither true nor false")
         self._step = self._rows
         return True
 
@@ -130,10 +130,10 @@
         self._text = self._text[end - len(self._head) :]
         version = told.get("seq", 0)
         if not isinstance(version, int) or isinstance(version, bool):
-            raise BadList("seq is no whole number")
+            raise BadListError("seq is no whole number")
         whole = told.get("whole", False)
         if not isinstance(whole, bool) or self._whole not in (None, whole):
-            raise BadList("`whole` is neither true nor false, or both")
+            raise BadListError("`whole` is neither true nor false, or both")
         self._step, self._whole = self._begin, None
         self.lines += 1
         parts.append(Told(whole, version))
@@ -158,7 +158,7 @@
                 and len(text) - bad.pos < 8
             )
             if not half or "control" in bad.msg or len(text) - at > most or _EMPTY.search(text, at):
-                raise BadList(f"what cannot be read: {text[at:at + 60]!r}") from None
+                raise BadListError(f"what cannot be read: {text[at:at + 60]!r}") from None
             return None, 0
         except (RecursionError, ValueError):
-            raise BadList(f"what is nested too deep, or a number too long: {text[at:at + 60]!r}") from None
+            raise BadListError(f"what is nested too deep, or a number too long: {text[at:at + 60]!r}") from None
--- a/linkdock/protocol/resp.py
+++ b/linkdock/protocol/resp.py
@@ -14,7 +14,7 @@
 MOST_SKIP = 256 * 1024  # bytes of an oversize word that are passed over to reach the next command
 
 
-class Malformed(LinkdockError, ValueError):
+class MalformedError(LinkdockError, ValueError):
     """The bytes are no command. What follows them cannot be read either."""
 
     code = "LD-CLIENT-MALFORMED"
@@ -22,7 +22,7 @@
     remedy = "Look at that client: what it speaks, and whether it sends anything before its answer"
 
 
-class Oversize(LinkdockError, ValueError):
+class OversizeError(LinkdockError, ValueError):
     """A command that is too long. It is said once, at once; the rest is skipped, and the next can be read."""
 
     code = "LD-CLIENT-OVERSIZE"
@@ -60,7 +60,7 @@
     def behind(self, more: bytes = b"") -> None:
         """Look at what has come behind the last command, `more` with it, and take nothing of it.
 
-        Raises Malformed where that is not a few whole commands. Danger: a client that sends hundreds at once is to
+        Raises MalformedError where that is not a few whole commands. Danger: a client that sends hundreds at once is to
         hear one error for all of them, and so is one whose next command has only begun.
         """
         rest = CommandParser()
@@ -70,14 +70,14 @@
                 if rest.next() is None:
                     break
             else:
-                raise Malformed("too many commands at once")
-        except Oversize as bad:
-            raise Malformed(str(bad)) from None
+                raise MalformedError("too many commands at once")
+        except OversizeError as bad:
+            raise MalformedError(str(bad)) from None
         if rest.partial:
-            raise Malformed("a command that is not whole behind another")
+            raise MalformedError("a command that is not whole behind another")
 
     def next(self) -> list[bytes] | None:
-        """The words of the next command that is whole, or None. Raises Oversize and Malformed."""
+        """The words of the next command that is whole, or None. Raises OversizeError and MalformedError."""
         try:
             return self._next()
         finally:
@@ -91,10 +91,10 @@
             if count is None:
                 return None
             if count > MOST_WORDS:
-                raise Malformed("too many words")
+                raise MalformedError("too many words")
             empty += count <= 0
             if empty > MOST_EMPTY:  # nobody else would get a turn
-                raise Malformed("nothing but empty commands")
+                raise MalformedError("nothing but empty commands")
             self._missing, self._words, self._size, self._oversize = max(count, 0), [], 0, False
         while self._missing:
             if not self._skip:
@@ -103,26 +103,26 @@
                 if length is None:
                     return None
                 if length < 0:
-                    raise Malformed("a word without length")
+                    raise MalformedError("a word without length")
                 if length <= MOST_WORD and self._size + length <= MOST_COMMAND:
                     end = self._at + length
                     if len(self._data) < end + 2:
                         self._at = mark
                         return None
                     if self._data[end : end + 2] != b"\r\n":
-                        raise Malformed("a word does not end where it should")
+                        raise MalformedError("a word does not end where it should")
                     self._size += length
                     self._words.append(bytes(self._data[self._at : end]))
                     self._at = end + 2
                     self._missing -= 1
                     continue
                 if length > MOST_SKIP:
-                    raise Malformed("a word is far too long")
+                    raise MalformedError("a word is far too long")
                 self._skip, self._words, self._size = length + 2, [], 0
                 if not self._oversize:
                     # Danger: a client that sends such a word slowly, or never ends it, is owed its error now.
                     self._oversize = True
-                    raise Oversize("the command is longer than 64 KiB")
+                    raise OversizeError("the command is longer than 64 KiB")
             # Danger: an oversize command must cost no more memory than a lawful one.
             passed = min(self._skip, len(self._data) - self._at)
             self._at += passed
@@ -138,14 +138,14 @@
         end = self._data.find(b"\r\n", self._at, self._at + MOST_LINE)
         start = bytes(self._data[self._at : self._at + 1])
         if start and start != mark:
-            raise Malformed(f"expected {mark.decode()!r}")
+            raise MalformedError(f"expected {mark.decode()!r}")
         if end < 0:
             if len(self._data) - self._at >= MOST_LINE:
-                raise Malformed("a length without end")
+                raise MalformedError("a length without end")
             return None
         digits = bytes(self._data[self._at + 1 : end])
         if not digits.removeprefix(b"-").isdigit():  # of bytes: 0 to 9 alone
-            raise Malformed("a length that is no number")
+            raise MalformedError("a length that is no number")
         self._at = end + 2
         return int(digits)
 
--- a/linkdock/service/operations.py
+++ b/linkdock/service/operations.py
@@ -8,14 +8,14 @@
 from typing import TYPE_CHECKING
 
 from ..facade import Facade
-from ..protocol.admin import Admin, Refusal
+from ..protocol.admin import Admin, RefusalError
 from ..protocol.exposition import render
 from ..protocol.frontend import Frontend
 from ..sender.books import Books
 from ..sender.desk import Sender
 from ..state.duty import Duty
 from ..state.figures import Figures
-from ..state.rotation import Rotation, TooMany
+from ..state.rotation import Rotation, TooManyError
 from ..state.table import ServerTable
 from ..state.wheel import Wheel
 
@@ -83,7 +83,7 @@
 
     def status(self) -> str:
         if not self.duty.taking:
-            raise Refusal(self.duty.state)
+            raise RefusalError(self.duty.state)
         return self.duty.state
 
     def stats(self) -> list[str]:
@@ -97,12 +97,12 @@
 
     def maint_on(self, name: str) -> str:
         if not self._listed(name) and name not in self.rotation:
-            raise Refusal(f"no endpoint {name} is listed")
+            raise RefusalError(f"no endpoint {name} is listed")
         try:
             if not self.rotation.take_out(name):
                 return f"{name} was out already"
-        except (OSError, TooMany) as bad:
-            raise Refusal(f"{name} stays as it is: {bad}") from None
+        except (OSError, TooManyError) as bad:
+            raise RefusalError(f"{name} stays as it is: {bad}") from None
         log.info("%s is out by hand", name)
         self._sender.by_hand(name)
         return f"{name} gets nothing more"
@@ -111,10 +111,10 @@
         try:
             since = self.rotation.put_back(name)
         except OSError as bad:
-            raise Refusal(f"{name} stays out: {bad}") from None
+            raise RefusalError(f"{name} stays out: {bad}") from None
         if since is None:
             if not self._listed(name):
-                raise Refusal(f"no endpoint {name} is listed")
+                raise RefusalError(f"no endpoint {name} is listed")
             return f"{name} was not out"
         log.info("%s is back from being out by hand", name)
         self._sender.by_hand(name, self._clock() - max(0.0, time.time() - since))
@@ -128,7 +128,7 @@
 
     def active(self) -> str:
         if not self.duty.active():
-            raise Refusal(self.duty.state)
+            raise RefusalError(self.duty.state)
         log.info("active: clients are taken")
         return self.duty.state
 
--- a/linkdock/state/rotation.py
+++ b/linkdock/state/rotation.py
@@ -23,7 +23,7 @@
 VERSION = 1
 
 
-class TooMany(LinkdockError):
+class TooManyError(LinkdockError):
     """As many are out as are kept."""
 
     code = "LD-ROTATION-FULL"
@@ -99,12 +99,12 @@
             os.close(folder)
 
     def take_out(self, name: str) -> bool:
-        """Whether it was not out before. Raises TooMany, or OSError where it cannot be kept: nothing has changed."""
+        """Whether it was not out before. Raises TooManyError, or OSError if it cannot be kept: nothing has changed."""
         with self._alone():
             if name in self._out:
                 return False
             if len(self._out) >= MOST_OUT:
-                raise TooMany(f"{MOST_OUT} endpoints are out already")
+                raise TooManyError(f"{MOST_OUT} endpoints are out already")
             self._write({**self._out, name: self._clock()})
         return True
 
--- a/tests/test_cluster_storage.py
+++ b/tests/test_cluster_storage.py
@@ -18,7 +18,7 @@
 MB = 1_000_000
 
 
-class Crash(Exception):
+class CrashError(Exception):
     """The power is gone."""
 
 
@@ -33,9 +33,9 @@
         if self.left is not None:
             self.left -= 1
             if self.left == 0:
-                raise OSError(self.error, "planted") if self.error else Crash
+                raise OSError(self.error, "planted") if self.error else CrashError
             if self.left < 0 and not self.error:
-                raise Crash
+                raise CrashError
 
     def make_folder(self, folder):
         pass
@@ -172,7 +172,7 @@
             for call, arguments, new in steps:  # noqa: B007
                 getattr(storage, call)(*arguments)
                 old = new
-        except Crash:
+        except CrashError:
             pass
         whole = old is new
         storage = opened(disk.after_crash(draw))
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -139,13 +139,13 @@
 def test_an_operator_hears_a_no_as_ever_and_the_log_has_code_and_remedy(caplog):
     class Desk:
         def maint_on(self, name):
-            raise admin.Refusal(f"no endpoint {name} is listed")
+            raise admin.RefusalError(f"no endpoint {name} is listed")
 
         def status(self):
-            raise admin.Refusal("standby")
+            raise admin.RefusalError("standby")
 
     with caplog.at_level(logging.INFO):
         assert admin.answer(Desk(), b"maint-on s9") == b"-ERR no endpoint s9 is listed\n"
         assert admin.answer(Desk(), b"status") == b"-ERR standby\n"
     (line,) = caplog.messages  # how often anybody looks is no news
-    assert "LD-OPERATOR-NO: no endpoint s9 is listed; " in line and admin.Refusal.remedy[1:] in line
+    assert "LD-OPERATOR-NO: no endpoint s9 is listed; " in line and admin.RefusalError.remedy[1:] in line
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,11 +10,11 @@
 import pytest
 from peers import PATIENCE, Backend, Client, Discovery, Program
 
-from linkdock.protocol.admin import CALLS, MOST, MOST_LINE, Refusal, answer
+from linkdock.protocol.admin import CALLS, MOST, MOST_LINE, RefusalError, answer
 from linkdock.protocol.exposition import escaped, render
 from linkdock.state.duty import LAG, Duty
 from linkdock.state.figures import ENDS, Figures
-from linkdock.state.rotation import KEPT_FOR, MOST_OUT, Rotation, TooMany
+from linkdock.state.rotation import KEPT_FOR, MOST_OUT, Rotation, TooManyError
 
 
 @pytest.fixture
@@ -72,7 +72,7 @@
         def asked(*words):
             self.asked.append((name, *words))
             if name == "status":
-                raise Refusal("stopping")
+                raise RefusalError("stopping")
             if name == "active":
                 raise RuntimeError("a bug")
             return ["a 1", "b 2"] if name == "stats" else "done"
@@ -278,7 +278,7 @@
         caplog.clear()
     for n in range(MOST_OUT):
         out.take_out(f"s{n}")
-    with pytest.raises(TooMany):
+    with pytest.raises(TooManyError):
         out.take_out("one more")
     out.forget(lambda name: name == "s7")
     now[0] += KEPT_FOR + 1
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -24,7 +24,7 @@
         while True:
             try:
                 words = parser.next()
-            except resp.Oversize:
+            except resp.OversizeError:
                 words = "oversize"
             if words is None:
                 break
--- a/tests/test_races_handover.py
+++ b/tests/test_races_handover.py
@@ -16,7 +16,7 @@
 from test_succession import kept, shift
 from test_upgrades import Serving
 
-from linkdock.protocol.admin import Refusal
+from linkdock.protocol.admin import RefusalError
 from linkdock.service.operations import Operations
 from linkdock.state import journal as journals
 from linkdock.state import rotation as rotations
@@ -38,7 +38,7 @@
         monkeypatch.setattr(rotations.os, "getpid", lambda: 1)
         try:
             said.append(desk.maint_on("s2"))
-        except Refusal as why:
+        except RefusalError as why:
             said.append(why)
         replace(beside, path)
 
@@ -47,7 +47,7 @@
     for told in (one, other):
         told.read()
     # Whoever heard a yes is right, and who heard a no may call again.
-    assert set(one) == set(other) == {"s1"} and all(isinstance(no, Refusal) and "stays" in str(no) for no in said)
+    assert set(one) == set(other) == {"s1"} and all(isinstance(no, RefusalError) and "stays" in str(no) for no in said)
     assert other.take_out("s2") and set(Rotation(tmp_path / "rotation", time.time)) == {"s1", "s2"}
 
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -8,7 +8,7 @@
 
 from linkdock.facade import Server
 from linkdock.protocol.discovery import Staging, read_rows
-from linkdock.protocol.listing import BadList, ListReader, Rows, Told
+from linkdock.protocol.listing import BadListError, ListReader, Rows, Told
 from linkdock.state.roster import Roster
 from linkdock.state.table import KNOWN_FOR, MOST_KNOWN, MOST_WAITS, ServerTable
 
@@ -199,7 +199,7 @@
 )
 @pytest.mark.parametrize("size", [13, 4096])
 def test_what_is_no_list_is_refused_and_holds_little(data, size):
-    with pytest.raises(BadList):
+    with pytest.raises(BadListError):
         fed(data, size)
 
 
@@ -212,7 +212,7 @@
         try:
             for _, rows in fed(bytes(data), 100):
                 read_rows(rows, ["a"], ["x"])
-        except BadList:
+        except BadListError:
             pass
 
 
@@ -255,7 +255,7 @@
 
 def test_half_a_whole_list_changes_nothing():
     desk = Desk()
-    with pytest.raises(BadList):
+    with pytest.raises(BadListError):
         stage(desk, line([row("a"), row("b")])[:-20] + b"}}}\n")
     assert desk.lists == [] and desk.changes == []
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
 HOSTS = {"a": 1, "b": 1, "c": 2}
 
 
-class Broken(AssertionError):
+class BrokenError(AssertionError):
     """A rule was broken."""
 
 
@@ -33,7 +33,7 @@
 
     def need(self, holds, rule):
         if not holds:
-            raise Broken(rule)
+            raise BrokenError(rule)
 
     def event(self, now, e):
         self.now = now
@@ -243,7 +243,7 @@
 def test_the_checker_catches(rule):
     check, now = Checker(told()), 100.0
     check.event(now, LIST)
-    with pytest.raises(Broken, match=rule):
+    with pytest.raises(BrokenError, match=rule):
         for step in BREAKS[rule]:
             if isinstance(step, float):
                 now += step
