--- a/linkdock/protocol/admin.py
+++ b/linkdock/protocol/admin.py
@@ -18,7 +18,7 @@
 
 from ..errors import LinkdockError, log_line
 from ..state.wheel import Wheel
-from ..streams import part
+from ..streams import lingering_close
 from .listening import Listener
 
 log = logging.getLogger(__name__)
@@ -130,7 +130,7 @@
             line, end, _ = data.partition(b"\n")
             whole = end and len(line) <= MOST_LINE
             stream.write(answer(self._desk, line) if whole else b"-ERR the line is too long\n")
-            await part(stream, None, self._wheel.after)
+            await lingering_close(stream, None, self._wheel.after)
         except OSError:  # a closed stream's among them
             pass  # its caller has gone, or its time is over
         finally:
--- a/linkdock/protocol/frontend.py
+++ b/linkdock/protocol/frontend.py
@@ -16,7 +16,7 @@
 
 from ..state.requests import Answer, Refused, Request, Taken
 from ..state.wheel import Wheel
-from ..streams import Parting, seen, silent, waiting
+from ..streams import ClosingStreams, seen, silent, waiting
 from . import resp
 from .door import BAD, BEGUN, BUSY, IDLE, Door, Place
 from .listening import Listener
@@ -75,7 +75,7 @@
         self._places: dict[IOStream, Place] = {}  # and its place at the door,
         self._streams: dict[Place, IOStream] = {}  # both ways
         self._waits: dict[IOStream, asyncio.Future] = {}  # done with the read, or once the connection is given back
-        self._parting = Parting(wheel.after, spawn)  # those given back and not closed yet
+        self._closing_streams = ClosingStreams(wheel.after, spawn)  # those given back and not closed yet
         self._closing = self._ending = False
         self._early = 0  # number of the last place that may have waited for the start
         self.observer: Observer | None = None  # of the records, where they are on
@@ -116,7 +116,7 @@
 
     def __len__(self) -> int:
         """Connections of clients."""
-        return len(self._door) + len(self._parting)
+        return len(self._door) + len(self._closing_streams)
 
     def hold_at_most(self, most: int) -> None:
         """There are so many places from now on; the least missed leave, none while it is answered."""
@@ -130,7 +130,7 @@
         while len(self._door) > most:
             if not self._make_room(host):
                 return False
-        while len(self) > most + self._door.bulk() and self._parting.cut_short():
+        while len(self) > most + self._door.bulk() and self._closing_streams.close_oldest():
             pass
         return True
 
@@ -170,7 +170,7 @@
         if place is None:
             return
         if not stream.closed():
-            self._parting.add(stream, self._reads[stream] if stream.reading() else None)
+            self._closing_streams.add(stream, self._reads[stream] if stream.reading() else None)
         del self._reads[stream], self._streams[place]
         if (wait := self._waits.pop(stream, None)) is not None and not wait.done():
             wait.set_result(None)
@@ -430,5 +430,5 @@
         self._listener.close()
         for stream in list(self._places):
             self._drop(stream, "the end")
-        while self._parting.cut_short():
+        while self._closing_streams.close_oldest():
             pass
--- a/linkdock/streams.py
+++ b/linkdock/streams.py
@@ -9,8 +9,8 @@
 from tornado.iostream import IOStream
 
 PEEK = 64 * 1024  # bytes that are looked at; a client that has sent more floods
-LAST = 0.5  # seconds for a peer to read what was written last and to close,
-LAST_BYTES = 512 * 1024  # and for so many bytes of what it sends meanwhile
+LINGER_S = 0.5  # seconds for a peer to read what was written last and to close,
+LINGER_BYTES = 512 * 1024  # and for so many bytes of what it sends meanwhile
 
 
 def silent(stream: IOStream, read: asyncio.Future) -> bool:
@@ -52,12 +52,12 @@
         pass  # its peer has gone
 
 
-async def part(stream: IOStream, read: asyncio.Future | None, after: Callable) -> None:
+async def lingering_close(stream: IOStream, read: asyncio.Future | None, after: Callable) -> None:
     """Close a stream whose next read is `read`, if there is one. What still comes is thrown away, whatever it is.
 
     Danger: closing over bytes that were not read resets the connection, and the last answer is lost with it.
     """
-    timer, left = after(LAST, stream.close), LAST_BYTES
+    timer, left = after(LINGER_S, stream.close), LINGER_BYTES
     try:
         await stream.write(b"")  # behind all that is to be written
         shut(stream)
@@ -72,8 +72,8 @@
         stream.close()
 
 
-class Parting:
-    """Owner of streams that are being closed by `part`; each holds a descriptor until that is over."""
+class ClosingStreams:
+    """Owner of streams that are being closed by `lingering_close`; each holds a descriptor until that is over."""
 
     def __init__(self, after: Callable, spawn: Callable) -> None:
         """`after` sets a timer in seconds, `spawn` starts a task."""
@@ -88,15 +88,15 @@
         """Nothing more is sent on it; its next read is `read`, if there is one."""
         shut(stream)
         self._streams[stream] = None
-        self._spawn(self._part(stream, read))
+        self._spawn(self._close(stream, read))
 
-    async def _part(self, stream: IOStream, read: asyncio.Future | None) -> None:
+    async def _close(self, stream: IOStream, read: asyncio.Future | None) -> None:
         try:
-            await part(stream, read, self._after)
+            await lingering_close(stream, read, self._after)
         finally:
             self._streams.pop(stream, None)
 
-    def cut_short(self) -> bool:
+    def close_oldest(self) -> bool:
         """Close the oldest at once; whether there was one."""
         stream = next(iter(self._streams), None)
         if stream is None:
