--- a/linkdock/admission/gate.py
+++ b/linkdock/admission/gate.py
@@ -20,8 +20,8 @@
 MOST_LAST = 32  # refusals that operators can read
 
 
-class Place(Protocol):
-    """A connection's place at the door."""
+class Connection(Protocol):
+    """A client's connection, as far as the gate knows it."""
 
     address: str
 
@@ -62,7 +62,7 @@
         self.last: OrderedDict[str, tuple[float, str]] = OrderedDict()  # addresses refused last: when and why
 
     def hold_at_most(self, most: int) -> None:
-        """There are so many places from now on."""
+        """There may be so many connections from now on."""
         self._open_to_all = most - int(self._settings.reserve * most)
 
     def arrives(self, now: float, address: str) -> str | None:
@@ -109,11 +109,11 @@
         return self._strangers >= self._open_to_all and self.conduct.standing(now, key_of(address)) != KNOWN
 
     def no_room(self, now: float, address: str) -> None:
-        """The door is full, or what of it strangers may have, and nobody could make room for this one."""
+        """All connections are in use, or all that strangers may have, and none could be closed for this one."""
         self._no_room_until = now + NO_ROOM
         self._note(now, key_of(address), "no room")
 
-    def may_make_room(self, now: float, places: Iterable[Place], address: str) -> list[Place]:
+    def may_make_room(self, now: float, connections: Iterable[Connection], address: str) -> list[Connection]:
         """Of those who might make room, least missed first, who does so for this address.
 
         Strangers before known ones, and of strangers those of the address with the most connections first. Danger: a
@@ -121,13 +121,13 @@
         """
         known = self.conduct.standing(now, key_of(address)) == KNOWN
         strangers, others = [], []
-        for place in places:
-            (others if self._is_known(now, place) else strangers).append(place)
-        strangers.sort(key=lambda p: -self.live[key_of(p.address)])  # stable: else as the door has it
+        for connection in connections:
+            (others if self._is_known(now, connection) else strangers).append(connection)
+        strangers.sort(key=lambda p: -self.live[key_of(p.address)])  # stable: else as the table has it
         return strangers + others if known else strangers
 
-    def _is_known(self, now: float, place: Place) -> bool:
-        return self.conduct.standing(now, key_of(place.address)) == KNOWN
+    def _is_known(self, now: float, connection: Connection) -> bool:
+        return self.conduct.standing(now, key_of(connection.address)) == KNOWN
 
     def spread(self, now: float, wait: float) -> float:
         """When one that is turned away for want of room is told to come back, seconds.
@@ -138,27 +138,27 @@
         self._return_at = min(max(now + wait, self._return_at + 1 / self._settings.strangers), now + wait + MOST_SPREAD)
         return self._return_at - now
 
-    def enter(self, now: float, place: Place) -> None:
+    def enter(self, now: float, connection: Connection) -> None:
         """Count a connection that has been accepted against its address."""
-        key = key_of(place.address)
+        key = key_of(connection.address)
         self.live[key] += 1
-        stranger = self._stranger[place] = self.conduct.standing(now, key) != KNOWN
+        stranger = self._stranger[connection] = self.conduct.standing(now, key) != KNOWN
         self._strangers += stranger
 
-    def took(self, now: float, place: Place) -> None:
+    def took(self, now: float, connection: Connection) -> None:
         """A message that came on it was taken on; from then on it is no stranger's."""
-        self.conduct.good(now, key_of(place.address))
-        if self._stranger.get(place) and self._is_known(now, place):
-            self._stranger[place] = False
+        self.conduct.good(now, key_of(connection.address))
+        if self._stranger.get(connection) and self._is_known(now, connection):
+            self._stranger[connection] = False
             self._strangers -= 1
 
-    def leave(self, now: float, place: Place, useless: float) -> None:
+    def leave(self, now: float, connection: Connection, useless: float) -> None:
         """It is closed; how useless it was, 0 if it was of use."""
-        key = key_of(place.address)
+        key = key_of(connection.address)
         self.live[key] -= 1
         if self.live[key] <= 0:
             del self.live[key]
-        self._strangers -= self._stranger.pop(place)
+        self._strangers -= self._stranger.pop(connection)
         if useless > 0:
             self.conduct.bad(now, key, useless)
 
--- a/linkdock/protocol/frontend.py
+++ b/linkdock/protocol/frontend.py
@@ -18,7 +18,7 @@
 from ..state.wheel import Wheel
 from ..streams import ClosingStreams, seen, silent, waiting
 from . import resp
-from .door import BAD, BEGUN, BUSY, IDLE, Door, Place
+from .connection_table import ConnectionEntry, ConnectionState, ConnectionTable
 from .listening import Listener
 
 if TYPE_CHECKING:
@@ -70,14 +70,14 @@
         gate: Gate | None = None,
     ) -> None:
         self._desk, self._wheel, self._spawn, self._most_held = desk, wheel, spawn, most_held
-        self._door, self._gate = Door(most, usual), gate  # the gate where `deploy/admission.json` is on
+        self._table, self._gate = ConnectionTable(most, usual), gate  # the gate where `deploy/admission.json` is on
         self._reads: dict[IOStream, asyncio.Future] = {}  # every connection, with its next read
-        self._places: dict[IOStream, Place] = {}  # and its place at the door,
-        self._streams: dict[Place, IOStream] = {}  # both ways
+        self._entries: dict[IOStream, ConnectionEntry] = {}  # and its entry,
+        self._streams: dict[ConnectionEntry, IOStream] = {}  # both ways
         self._waits: dict[IOStream, asyncio.Future] = {}  # done with the read, or once the connection is given back
         self._closing_streams = ClosingStreams(wheel.after, spawn)  # those given back and not closed yet
         self._closing = self._ending = False
-        self._early = 0  # number of the last place that may have waited for the start
+        self._early = 0  # number of the last connection that may have waited for the start
         self.observer: Observer | None = None  # of the records, where they are on
         self.duty: Duty | None = None  # whether clients are taken, where there are operators
         self.port = sockets[0].getsockname()[1]
@@ -92,7 +92,7 @@
             gate is not None
             and gate.crowded(now, host)
             and not self._make_room(host)
-            or not self._at_most(self._door.most - 1, host)
+            or not self._at_most(self._table.limit - 1, host)
         ):
             sock.close()  # all are in the middle of a request; its client has not been read, and comes again
             if gate is not None:
@@ -104,33 +104,33 @@
             self._reads[stream] = self._read(stream)
         except OSError:
             return
-        place = self._places[stream] = self._door.enter(now)
-        place.address, self._streams[place] = host, stream
+        entry = self._entries[stream] = self._table.add(now)
+        entry.address, self._streams[entry] = host, stream
         if self._listener.catching_up:
-            self._early = place.number
+            self._early = entry.number
         if gate is not None:
-            gate.enter(now, place)
+            gate.enter(now, entry)
         if self.observer is not None:
-            self.observer.joined(place.number, f"{address[0]}:{address[1]}", len(self._door))
-        self._spawn(self._serve(stream, place))
+            self.observer.joined(entry.number, f"{address[0]}:{address[1]}", len(self._table))
+        self._spawn(self._serve(stream, entry))
 
     def __len__(self) -> int:
         """Connections of clients."""
-        return len(self._door) + len(self._closing_streams)
+        return len(self._table) + len(self._closing_streams)
 
     def hold_at_most(self, most: int) -> None:
-        """There are so many places from now on; the least missed leave, none while it is answered."""
-        self._door.most = most
+        """There may be so many connections from now on; the least missed leave, none while it is answered."""
+        self._table.limit = most
         if self._gate is not None:
             self._gate.hold_at_most(most)
         self._at_most(most, "")
 
     def _at_most(self, most: int, host: str) -> bool:
-        """Whether no more than so many have a place now; a few that were given back may not be closed yet."""
-        while len(self._door) > most:
+        """Whether no more than so many are open now; a few that were given back may not be closed yet."""
+        while len(self._table) > most:
             if not self._make_room(host):
                 return False
-        while len(self) > most + self._door.bulk() and self._closing_streams.close_oldest():
+        while len(self) > most + self._table.bulk_size() and self._closing_streams.close_oldest():
             pass
         return True
 
@@ -140,57 +140,57 @@
         read.add_done_callback(seen)
         return read
 
-    def _silent(self, place: Place) -> bool:
+    def _silent(self, entry: ConnectionEntry) -> bool:
         """Whether no command may just have come on it."""
-        stream = self._streams[place]
+        stream = self._streams[entry]
         return silent(stream, self._reads[stream])
 
     def _make_room(self, host: str) -> bool:
         """Close what is least missed; not a connection on which a command may just have come."""
-        useless, rest = self._door.least_missed(self._wheel.now)
+        useless, rest = self._table.eviction_candidates(self._wheel.now)
         if self._gate is not None:
             useless, rest = (self._gate.may_make_room(self._wheel.now, part, host) for part in (useless, rest))
         room = 0
-        for place in useless:
-            if room >= self._door.bulk():
+        for entry in useless:
+            if room >= self._table.bulk_size():
                 break
-            if place.state == BAD or self._silent(place):
-                self._drop(self._streams[place], "room")
+            if entry.state == ConnectionState.PENALISED or self._silent(entry):
+                self._drop(self._streams[entry], "room")
                 room += 1
         if not room:
-            place = next((p for p in rest if self._silent(p)), None)
-            if place is None:
+            entry = next((p for p in rest if self._silent(p)), None)
+            if entry is None:
                 return False
-            self._drop(self._streams[place], "room")
+            self._drop(self._streams[entry], "room")
         return True
 
     def _drop(self, stream: IOStream, why: str) -> None:
         """The one place where a connection is given back; its `_serve` ends by it, or with it."""
-        place = self._places.pop(stream, None)
-        if place is None:
+        entry = self._entries.pop(stream, None)
+        if entry is None:
             return
         if not stream.closed():
             self._closing_streams.add(stream, self._reads[stream] if stream.reading() else None)
-        del self._reads[stream], self._streams[place]
+        del self._reads[stream], self._streams[entry]
         if (wait := self._waits.pop(stream, None)) is not None and not wait.done():
             wait.set_result(None)
-        self._door.leave(place)
+        self._table.remove(entry)
         if self._gate is not None:
-            self._gate.leave(self._wheel.now, place, place.uselessness())
+            self._gate.leave(self._wheel.now, entry, entry.uselessness())
         if self.observer is not None:
             now = self._wheel.now
             if stream.error is not None:
                 why = f"{why}: {stream.error}"
             self.observer.left(
-                place.number,
+                entry.number,
                 why,
-                place.taken,
-                place.commands,
-                now - place.since,
-                now - place.last if place.state == IDLE else 0.0,
+                entry.messages,
+                entry.commands,
+                now - entry.connected_at,
+                now - entry.state_since if entry.state == ConnectionState.IDLE else 0.0,
             )
 
-    async def _serve(self, stream: IOStream, place: Place) -> None:
+    async def _serve(self, stream: IOStream, entry: ConnectionEntry) -> None:
         parser, why = resp.CommandParser(), "its client left"
         due: float | None = self._wheel.now + WHOLE  # the command's end; none between commands
         try:
@@ -203,29 +203,29 @@
                 try:
                     words = parser.next()
                     if words is None:
-                        if self._sent_away(place, parser):
+                        if self._sent_away(entry, parser):
                             why = "stopping"
                             return
-                        data = await self._more(stream, place, parser, due)
+                        data = await self._more(stream, entry, parser, due)
                         due = due or self._wheel.now + WHOLE
                         parser.feed(data)
                         continue
                     due = None
-                    place.commands += 1
+                    entry.commands += 1
                     if parser.partial:
                         parser.behind()
-                    if not await self._command(stream, place, parser, words):
+                    if not await self._command(stream, entry, parser, words):
                         why = "told to"
                         return
                 except (Refused, resp.OversizeError) as bad:
-                    place.errors += 1
+                    entry.errors += 1
                     await self._written(stream, resp.error(f"ERR {bad}"))
-                    if place.errors >= MOST_ERRORS:
+                    if entry.errors >= MOST_ERRORS:
                         why = "errors"
                         return
-                    self._put(place, BAD)
-                    await self._wheel.pause(PENALTY * place.errors)
-                    self._put(place, BUSY)
+                    self._put(entry, ConnectionState.PENALISED)
+                    await self._wheel.pause(PENALTY * entry.errors)
+                    self._put(entry, ConnectionState.ANSWERING)
         except resp.MalformedError as bad:
             why = "malformed"
             if not stream.closed():
@@ -235,21 +235,21 @@
         finally:
             self._drop(stream, why)
 
-    def _sent_away(self, place: Place, parser: resp.CommandParser) -> bool:
+    def _sent_away(self, entry: ConnectionEntry, parser: resp.CommandParser) -> bool:
         """Whether a connection between commands is to be closed now, because this process takes no more clients.
 
         Danger: one whose first command is on its way, or on which the next has just come. They are answered first.
         At the very end nothing more is waited for, and what has not been read comes again elsewhere.
         """
         if self._ending:
-            return not self._reads[self._streams[place]].done()
+            return not self._reads[self._streams[entry]].done()
         if not self._closing and (self.duty is None or self.duty.taking):
             return False
-        return place.commands > 0 and not parser.partial and self._silent(place)
+        return entry.commands > 0 and not parser.partial and self._silent(entry)
 
-    def _put(self, place: Place, state: int) -> None:
-        if place in self._streams:
-            self._door.put(place, state, self._wheel.now)
+    def _put(self, entry: ConnectionEntry, state: ConnectionState) -> None:
+        if entry in self._streams:
+            self._table.set_state(entry, state, self._wheel.now)
 
     async def _written(self, stream: IOStream, data: bytes | asyncio.Future) -> None:
         """Danger: a client that sends and never reads; its answers must neither wait for ever nor pile up."""
@@ -259,19 +259,21 @@
         finally:
             timer.cancel()
 
-    async def _more(self, stream: IOStream, place: Place, parser: resp.CommandParser, due: float | None) -> bytes:
+    async def _more(
+        self, stream: IOStream, entry: ConnectionEntry, parser: resp.CommandParser, due: float | None
+    ) -> bytes:
         """The next bytes. Danger: a trickle must not put off the deadline of a command that has begun."""
         if due is None:
-            self._put(place, IDLE)
-            for other in self._door.too_many(self._wheel.now):
+            self._put(entry, ConnectionState.IDLE)
+            for other in self._table.excess_idle(self._wheel.now):
                 self._close_silent(self._streams[other], "too many idle")
-            seconds, why = IDLE_FOR if place.taken else UNUSED_FOR, "idle"
+            seconds, why = IDLE_FOR if entry.messages else UNUSED_FOR, "idle"
         else:
             seconds, why = due - self._wheel.now, "command not whole"
-            place.held = parser.held
-            self._put(place, BEGUN)
-            while sum(p.held for p in self._door.begun()) > self._most_held:
-                self._drop(self._streams[max(self._door.begun(), key=lambda p: p.held)], "memory")
+            entry.partial_bytes = parser.held
+            self._put(entry, ConnectionState.READING)
+            while sum(p.partial_bytes for p in self._table.reading()) > self._most_held:
+                self._drop(self._streams[max(self._table.reading(), key=lambda p: p.partial_bytes)], "memory")
             if due <= self._wheel.now and stream in self._reads and not self._reads[stream].done():
                 self._drop(stream, why)  # what had come by then has been looked at
         timer = self._wheel.after(seconds, lambda: self._close_silent(stream, why))
@@ -291,18 +293,20 @@
         finally:
             timer.cancel()
             # From here on a command may have come, and nobody may close over it.
-            self._put(place, BUSY)
+            self._put(entry, ConnectionState.ANSWERING)
 
     def _close_silent(self, stream: IOStream, why: str) -> None:
         """Danger: a request that has just come must not be met by a close, be it at the end of its time."""
-        if stream in self._places and self._silent(self._places[stream]):
+        if stream in self._entries and self._silent(self._entries[stream]):
             self._drop(stream, why)
 
-    async def _command(self, stream: IOStream, place: Place, parser: resp.CommandParser, words: list[bytes]) -> bool:
+    async def _command(
+        self, stream: IOStream, entry: ConnectionEntry, parser: resp.CommandParser, words: list[bytes]
+    ) -> bool:
         """Answer one command; whether the connection goes on."""
         name = words[0].upper()
         if name == b"ENQUEUE":
-            await self._written(stream, await self._enqueue(stream, place, parser, words))
+            await self._written(stream, await self._enqueue(stream, entry, parser, words))
             return True
         if name == b"PING":
             why = None if self.duty is None else self.duty.sends_away()
@@ -315,7 +319,7 @@
         return name != b"QUIT"
 
     async def _enqueue(
-        self, stream: IOStream, place: Place, parser: resp.CommandParser, words: list[bytes]
+        self, stream: IOStream, entry: ConnectionEntry, parser: resp.CommandParser, words: list[bytes]
     ) -> asyncio.Future:
         """Hand a message in; the write of its answer."""
         answered, writes, read = asyncio.get_running_loop().create_future(), [], self._reads[stream]
@@ -344,14 +348,14 @@
                 writes[0].add_done_callback(seen)
                 there = not stream.closed()  # by a client that has gone since it was looked at
             if there:
-                if isinstance(said, Taken) and not said.known and place in self._streams:
-                    self._door.took(place)
+                if isinstance(said, Taken) and not said.known and entry in self._streams:
+                    self._table.count_message(entry)
                     if self._gate is not None:
-                        self._gate.took(self._wheel.now, place)
+                        self._gate.took(self._wheel.now, entry)
             told()
             return there
 
-        self._ask(words, answer, place)
+        self._ask(words, answer, entry)
         read.add_done_callback(gone)
         await answered  # its deadline is the desk's: every request is answered at its next tick
         if not writes:
@@ -359,7 +363,7 @@
             raise resp.MalformedError("too much behind one command")
         return writes[0]
 
-    def _ask(self, words: list[bytes], answer: Callable, place: Place) -> None:
+    def _ask(self, words: list[bytes], answer: Callable, entry: ConnectionEntry) -> None:
         if len(words) != 5:
             raise Refused("wrong number of arguments for 'enqueue'")
         _, key, name, pairs, body = words
@@ -389,7 +393,7 @@
             answer=answer,
             tenant=told.get("t", ""),
             idempotency_key=told.get("k", ""),
-            client=place.number,
+            client=entry.number,
         )
         self._desk.ask(
             told["c"],
@@ -398,7 +402,7 @@
             request,
             told.get("r") == "1",
             told.get("again") == "1",
-            early=place.commands == 1 and place.number <= self._early,
+            early=entry.commands == 1 and entry.number <= self._early,
         )
 
     # --- The end.
@@ -416,19 +420,19 @@
 
     def empty(self) -> None:
         """Close the connections between requests."""
-        for place in list(self._door.idle()):
-            self._close_silent(self._streams[place], "stopping")
+        for entry in list(self._table.idle()):
+            self._close_silent(self._streams[entry], "stopping")
 
     def end(self) -> None:
         """Close every connection, also in the middle of a command. What has come whole is still answered."""
         self._ending = True
-        for stream, place in list(self._places.items()):
-            if place.state != BUSY:
+        for stream, entry in list(self._entries.items()):
+            if entry.state != ConnectionState.ANSWERING:
                 self._close_silent(stream, "the end")
 
     def close(self) -> None:
         self._listener.close()
-        for stream in list(self._places):
+        for stream in list(self._entries):
             self._drop(stream, "the end")
         while self._closing_streams.close_oldest():
             pass
--- a/tests/test_races_clients.py
+++ b/tests/test_races_clients.py
@@ -181,7 +181,7 @@
             stop(*args, **more)
 
         def dropped(stream, why):
-            if stream in frontend._places and late:
+            if stream in frontend._entries and late:
                 sock.sendall(late.pop(0))  # and this in the moment of the close, after the answer
             drop(stream, why)
 
--- a/tests/test_races_close.py
+++ b/tests/test_races_close.py
@@ -48,7 +48,7 @@
 
         def hooked(stream, why):
             # In the very moment of the close: between whatever was looked at before it, and what it does.
-            if stream in self.front._places and not stream.closed():
+            if stream in self.front._entries and not stream.closed():
                 for sock, data in self.late.items():
                     if sock.getsockname() == stream.socket.getpeername():
                         with contextlib.suppress(ConnectionError):
@@ -288,7 +288,7 @@
             clients.append(rig.client())
             clients[-1].sendall(b"GET / HTTP/1.1\r\n")
             await rig.heard(clients[-1], 1)
-            assert len(rig.front) <= 20 + rig.front._door.bulk()
+            assert len(rig.front) <= 20 + rig.front._table.bulk_size()
         assert await rig.heard(clients[0]) == []
 
     played(story, most=20)
