--- a/linkdock/console/refusals.py
+++ b/linkdock/console/refusals.py
@@ -7,7 +7,7 @@
 from ..errors import LinkdockError, exit_line
 
 
-class MissingPackages(LinkdockError):
+class MissingPackagesError(LinkdockError):
     """A library that this command needs is not installed."""
 
     code = "LD-COMMAND-PACKAGES"
@@ -15,10 +15,11 @@
     remedy = "Install the requirements file that the line names: `.venv/bin/pip install -r FILE`"
 
     def __init__(self, file: str, bad: ImportError, who: str = "this command") -> None:
+        """`file` lists the missing packages; `who` needs them."""
         super().__init__(f"{who} needs the packages of {file}: {bad}")
 
 
-class NothingFound(LinkdockError):
+class NothingFoundError(LinkdockError):
     """What was asked for is not in the file."""
 
     code = "LD-COMMAND-NOTHING"
@@ -26,7 +27,7 @@
     remedy = "Look at the id, and whether the file is that of the right sender and time"
 
 
-class BadUse(LinkdockError):
+class BadUseError(LinkdockError):
     """Options that do not go together, or a folder that is not there."""
 
     code = "LD-COMMAND-USE"
--- a/linkdock/protocol/admin.py
+++ b/linkdock/protocol/admin.py
@@ -18,7 +18,7 @@
 
 from ..errors import LinkdockError, log_line
 from ..state.wheel import Wheel
-from ..streams import part
+from ..streams import lingering_close
 from .listening import Listener
 
 log = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
 ID = re.compile(r"[!-~]{1,200}\Z")
 
 
-class Refusal(LinkdockError):
+class RefusalError(LinkdockError):
     """A call that is answered with a no, and its cause."""
 
     code = "LD-OPERATOR-NO"
@@ -38,7 +38,7 @@
 
 
 class Desk(Protocol):
-    """Who carries the calls out. Each raises Refusal for a no, and returns what the yes says."""
+    """Who carries the calls out. Each raises RefusalError for a no, and returns what the yes says."""
 
     def status(self) -> str: ...
 
@@ -83,7 +83,7 @@
         return b"-ERR an id is printable ASCII, at most 200 bytes\n"
     try:
         said = getattr(desk, method)(*rest)
-    except Refusal as why:
+    except RefusalError as why:
         if name != "status":  # Danger: on standby it says no as often as anybody looks
             log.info("the call %s: %s", name, log_line(why))
         return f"-ERR {why}\n".encode()
@@ -130,7 +130,7 @@
             line, end, _ = data.partition(b"\n")
             whole = end and len(line) <= MOST_LINE
             stream.write(answer(self._desk, line) if whole else b"-ERR the line is too long\n")
-            await part(stream, None, self._wheel.after)
+            await lingering_close(stream, None, self._wheel.after)
         except OSError:  # a closed stream's among them
             pass  # its caller has gone, or its time is over
         finally:
