--- a/linkdock/state/journal_reader.py
+++ b/linkdock/state/journal_reader.py
@@ -30,6 +30,7 @@
     """Follows the journal of one other process while that process writes it."""
 
     def __init__(self, path: Path, is_ordered: Callable[[str], bool]) -> None:
+        """`is_ordered` says of a class's name whether its messages go in order; of others nothing is kept."""
         self.path = path
         self.open: dict[str, Kept] = {}  # messages of ordered classes that have not ended, by id
         self._is_ordered = is_ordered
@@ -117,12 +118,14 @@
     """The journals of the other processes of this sender, alive or not yet taken up."""
 
     def __init__(self, path_of: Callable[[int], Path], is_ordered: Callable[[str], bool]) -> None:
+        """`path_of` names the journal of a process by its number."""
         self._path_of = path_of
         self._is_ordered = is_ordered
         self._alive: set[int] = set()
         self._readers: dict[int, JournalReader] = {}
 
     def __len__(self) -> int:
+        """How many journals are followed."""
         return len(self._readers)
 
     def follow(self, alive: Iterable[int]) -> None:
