--- a/linkdock/sender/books.py
+++ b/linkdock/sender/context.py
@@ -36,7 +36,7 @@
         """Whether a message of this class may be sent again though it may have run."""
 
 
-class Books:
+class SenderContext:
     """One for each sender, made by whoever starts it, who also sets what is on."""
 
     def __init__(
--- a/linkdock/sender/ends.py
+++ b/linkdock/sender/ends.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from .books import Books
+from .context import SenderContext
 
 WAITED = 0.4  # seconds that a client waits for its answer: so much of a message's time may be gone when it is read
 MOST_REMEMBERED = 4096  # ended requests that are remembered
@@ -14,8 +14,8 @@
 class Ends:
     """Owner of what is remembered of ended requests."""
 
-    def __init__(self, books: Books) -> None:
-        self._b = books
+    def __init__(self, context: SenderContext) -> None:
+        self._context = context
         self._over: dict[str, None] = {}  # those that ended last, in order
         self._calls: dict[str, int] = {}  # calls that may be running, of requests of ordered classes
         self._ended: set[str] = set()  # of these, whose record waits for the end of their calls
@@ -29,7 +29,7 @@
 
         `due` is when the time was up of the first that shared the call which delivered it.
         """
-        b = self._b
+        b = self._context
         known = b.requests.get(request)
         if known is None:
             return
@@ -55,22 +55,22 @@
             b.observer.over(request, how, known.until - now)
 
     def owe_notice(self, request: str, notice: dict, ran: bool) -> None:
-        self._b.journal.notice(request, notice)
+        self._context.journal.notice(request, notice)
         self.keep(request, notice, ran)
-        self._b.notices.post(notice)
-        if self._b.observer is not None:
-            self._b.observer.notice(notice)
+        self._context.notices.post(notice)
+        if self._context.observer is not None:
+            self._context.observer.notice(notice)
 
     def over_again(self, request: str, delivered: bool) -> None:
         """The end of one that was sent again: the store hears it, nobody else."""
-        kept = self._b.journal.kept.get(request)
+        kept = self._context.journal.kept.get(request)
         self._end_record(request)  # it is held until the store has it
         if kept is not None:
-            self._b.undeliverable.over(kept, delivered)
+            self._context.undeliverable.over(kept, delivered)
 
     def keep(self, request: str, notice: dict, ran: bool) -> None:
         """Into the store, where it is on, whatever could not be delivered or came too late (`ran`)."""
-        b = self._b
+        b = self._context
         kept = b.journal.kept.get(request)
         if b.undeliverable is not None and kept is not None:
             cls = b.rules.classes.get(kept.cls)
@@ -79,8 +79,8 @@
     def confirmed(self, request: str) -> None:
         """The platform has heard how a request ended."""
         self._end_record(request)
-        if self._b.observer is not None:
-            self._b.observer.confirmed(request)
+        if self._context.observer is not None:
+            self._context.observer.confirmed(request)
 
     # --- The turn of a key: it passes on with the end of the record, which other processes read as well.
 
@@ -96,10 +96,10 @@
         del self._calls[request]
         if request in self._ended:
             self._ended.discard(request)
-            self._b.journal.end(request)
+            self._context.journal.end(request)
 
     def _end_record(self, request: str) -> None:
         if request in self._calls:
             self._ended.add(request)
         else:
-            self._b.journal.end(request)
+            self._context.journal.end(request)
--- a/linkdock/sender/lives.py
+++ b/linkdock/sender/recovery.py
@@ -12,7 +12,7 @@
 from ..protocol.calls import CLOSED
 from ..state.journal import MOST_MOVED, Kept
 from ..state.requests import Refused, Request
-from .books import Books
+from .context import SenderContext
 from .ends import Ends
 
 if TYPE_CHECKING:
@@ -22,15 +22,15 @@
 log = logging.getLogger(__name__)
 
 
-class Lives:
+class Recovery:
     """Requests that no client waits for: they begin, or go, by the journal alone."""
 
-    def __init__(self, books: Books, ends: Ends) -> None:
-        self._b, self._ends = books, ends
+    def __init__(self, context: SenderContext, ends: Ends) -> None:
+        self._context, self._ends = context, ends
 
     def take_up(self, left: Iterable[Kept]) -> None:
         """Take up what is owed by the journal, and by nobody else any more."""
-        b = self._b
+        b = self._context
         now, unix = b.clock(), time.time()
         longest = 2 * max(cls.deadline for cls in b.rules.settings.classes)
         for kept in left:
@@ -100,7 +100,7 @@
 
     def _keep_turn(self, kept: Kept) -> None:
         """One that ends by a notice keeps its key until that is confirmed, and the calls of its process have ended."""
-        b = self._b
+        b = self._context
         key = self._key(kept)
         if not key:
             return
@@ -110,7 +110,7 @@
 
     def _key(self, kept: Kept) -> int:
         try:
-            return self._b.key_on_record(kept)
+            return self._context.key_on_record(kept)
         except Refused as why:  # its class did not go in order when it was taken on
             log.warning("%s goes in no order: %s", kept.id, why)
             return 0
@@ -120,7 +120,7 @@
 
         The platform has heard its end; it hears nothing of this. Live traffic has the first half of the room.
         """
-        b = self._b
+        b = self._context
         cls = b.rules.classes.get(message.cls)
         busy = 2 * len(b.requests) >= b.rules.settings.max_open
         # Danger: the store has no idempotency key, without which a server could not drop a repeat.
@@ -165,7 +165,7 @@
 
     def hand_over(self, busy: Callable[[str], bool], give: Callable[[list[str]], bool]) -> None:
         """Leave to another process, by `give`, what is on record and not `busy` here; it stays where that fails."""
-        b = self._b
+        b = self._context
         waiting = [r.id for r in b.requests if r.id in b.journal.kept and not busy(r.id)][:MOST_MOVED]
         if not waiting or not give(waiting):
             return
--- a/linkdock/sender/desk.py
+++ b/linkdock/sender/sender.py
@@ -33,9 +33,9 @@
 from ..state.journal import Kept
 from ..state.requests import Answer, Busy, Failed, Refused, Request, Taken
 from ..state.roster import Roster
-from .books import Books
+from .context import SenderContext
 from .ends import WAITED, Ends
-from .lives import Lives
+from .recovery import Recovery
 
 if TYPE_CHECKING:
     from ..state.duty import Duty
@@ -60,10 +60,10 @@
 class Sender:
     """The desk between fronts, decisions and calls. It owns the requests and runs the decisions' ticks."""
 
-    def __init__(self, books: Books, spawn: Callable) -> None:
-        self._b, self._spawn = books, spawn
-        self._ends = Ends(books)
-        self._lives = Lives(books, self._ends)
+    def __init__(self, context: SenderContext, spawn: Callable) -> None:
+        self._context, self._spawn = context, spawn
+        self._ends = Ends(context)
+        self._recovery = Recovery(context, self._ends)
         self._asking: dict[str, Request] = {}  # not answered yet
         self._calls: dict[tuple[str, int], Call] = {}
         self._unsafe_until: float | None = None  # set while stopping
@@ -82,34 +82,34 @@
 
         `early`: it may have lain in the socket until this process had started, however late it is read.
         """
-        if self._b.observer is None:
+        if self._context.observer is None:
             return self._ask(cls, destination, left, request, again, held, early)
-        self._b.observer.handed_in(request, cls, left, again, held)
+        self._context.observer.handed_in(request, cls, left, again, held)
         try:
             self._ask(cls, destination, left, request, again, held, early)
         except Refused as why:
-            self._b.observer.refused(request.id, cls, destination, str(why))
+            self._context.observer.refused(request.id, cls, destination, str(why))
             raise
 
     def _ask(
         self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool, early: bool
     ) -> None:
-        if cls not in self._b.rules.classes:
+        if cls not in self._context.rules.classes:
             raise Refused("unknown class")
-        unknown = not self._b.table.knows(destination)
-        if unknown and self._b.table.told:
+        unknown = not self._context.table.knows(destination)
+        if unknown and self._context.table.told:
             raise Refused("unknown destination")
-        if request.tenant not in self._b.rules.tenants:
-            if request.tenant and self._b.rules.tenants:
+        if request.tenant not in self._context.rules.tenants:
+            if request.tenant and self._context.rules.tenants:
                 raise Refused("unknown tenant")
             request.tenant = ""  # nobody's, or of no interest here: nothing is kept of it
-        if left > 2 * self._b.rules.settings.classes[self._b.rules.classes[cls]].deadline:
+        if left > 2 * self._context.rules.settings.classes[self._context.rules.classes[cls]].deadline:
             raise Refused("d is beyond the deadline of its class")
         if early:
             # Danger: its time runs from when the client sent it, which may be as long ago as a client waits: it lay in
             # the socket until this process had started. Told too late, its end counts as none.
             left = max(0.0, left - WAITED)
-        known = self._b.requests.get(request.id)
+        known = self._context.requests.get(request.id)
         if known is not None and known.answer is not None:
             raise Refused("this id is being handed in already")
         if known is not None or self._ends.remembered(request.id):
@@ -117,23 +117,23 @@
             # client uses the id, and its message would go out under it once the first is over.
             self._say(request, Taken(known=True))
             return
-        request.cls, request.until = self._b.rules.classes[cls], self._b.clock() + left
-        key = self._b.order_key(request)
-        if self._b.figures is not None:
-            self._b.figures.came += 1
+        request.cls, request.until = self._context.rules.classes[cls], self._context.clock() + left
+        key = self._context.order_key(request)
+        if self._context.figures is not None:
+            self._context.figures.came += 1
         if unknown:
             # Danger: no list has come yet. Nobody can say that there is no such destination.
             self._say(request, Busy(NO_LIST))
             return
-        if self.duty is not None and self.duty.denies(self._b.clock()):
+        if self.duty is not None and self.duty.denies(self._context.clock()):
             self._say(request, Busy(self.duty.again))
             return
-        if self._b.requests.full():
+        if self._context.requests.full():
             self._say(request, self._no_room(destination))
             return
-        self._b.requests.add(request)
+        self._context.requests.add(request)
         self._asking[request.id] = request
-        self._b.facade.report(
+        self._context.facade.report(
             Take(
                 request.id,
                 request.cls,
@@ -142,44 +142,46 @@
                 key,
                 again,
                 held,
-                tenant=self._b.tenant(request.tenant),
+                tenant=self._context.tenant(request.tenant),
                 taken_at=request.taken_at,
             )
         )
 
     def _no_room(self, destination: int) -> Busy:
         """Turned away for want of room here, whatever the destination could do."""
-        wait = self._b.facade.advice(destination)
+        wait = self._context.facade.advice(destination)
         return Busy(wait if self.spread is None else self.spread(wait))
 
     def overloaded(self) -> bool:
         """Whether a message would be denied for want of room, whatever it is."""
-        return self._b.requests.full() or self._b.journal.full()
+        return self._context.requests.full() or self._context.journal.full()
 
     def changed(self, servers: list[Server], version: int | None) -> None:
         """Discovery has told of changes; the version comes with the last of them."""
-        self._b.table.update(servers, self._b.table.version if version is None else version)
-        if self._b.observer is not None and servers:
-            self._b.observer.table(self._b.table.version, False, len(servers), servers)
+        self._context.table.update(servers, self._context.table.version if version is None else version)
+        if self._context.observer is not None and servers:
+            self._context.observer.table(self._context.table.version, False, len(servers), servers)
         if servers:
-            self._b.facade.report(Table("changes", self._b.table.shown(servers), self._b.table.version))
+            self._context.facade.report(
+                Table("changes", self._context.table.shown(servers), self._context.table.version)
+            )
 
     def whole(self, roster: Roster, version: int) -> None:
         """Discovery has told its whole list: what that leaves out is gone."""
-        self._b.table.replace(roster, version)
-        if self._b.observer is not None:
-            self._b.observer.table(version, True, len(roster), roster)
-        self._b.facade.report(Table("whole", self._b.table.shown(roster), version))
+        self._context.table.replace(roster, version)
+        if self._context.observer is not None:
+            self._context.observer.table(version, True, len(roster), roster)
+        self._context.facade.report(Table("whole", self._context.table.shown(roster), version))
 
     def doubted(self, servers: dict[str, float]) -> None:
         """Another process of this sender has seen these fail since then: they are met as from an outage."""
         rows = [
             row._replace(out_since=since)
             for name, since in servers.items()
-            if (row := self._b.table.row(name)) is not None
+            if (row := self._context.table.row(name)) is not None
         ]
         if rows:
-            self._b.facade.report(Table("changes", self._b.table.shown(rows), self._b.table.version))
+            self._context.facade.report(Table("changes", self._context.table.shown(rows), self._context.table.version))
 
     def by_hand(self, name: str, out_since: float | None = None) -> None:
         """A server was taken out by hand, or put back after having been out since then.
@@ -187,39 +189,43 @@
         It was restarted meanwhile: its connections are dead, and it comes back cold.
         """
         self.backend.pool.retire(name)
-        row = self._b.table.row(name)
+        row = self._context.table.row(name)
         if row is not None:
-            self._b.facade.report(
-                Table("changes", self._b.table.shown([row._replace(out_since=out_since)]), self._b.table.version)
+            self._context.facade.report(
+                Table(
+                    "changes",
+                    self._context.table.shown([row._replace(out_since=out_since)]),
+                    self._context.table.version,
+                )
             )
 
     # --- From life to life.
 
     def restore(self) -> None:
         """Take up what an earlier life of this sender took on."""
-        self.take_up(list(self._b.journal.kept.values()))
+        self.take_up(list(self._context.journal.kept.values()))
 
     def take_up(self, left: list[Kept]) -> None:
         """Take up what is owed by the journal, and by nobody else any more."""
-        self._lives.take_up(left)
+        self._recovery.take_up(left)
 
     def resend(self, message: Message) -> bool:
         """Take one that could not be delivered on again, as new work; False where it cannot be."""
-        return self._unsafe_until is None and self._lives.resend(message)
+        return self._unsafe_until is None and self._recovery.resend(message)
 
     def hand_over(self) -> None:
         """Leave what waits to the process that takes clients. What has a call out is brought to its end here."""
         out = {request for request, _ in self._calls}
-        self._lives.hand_over(lambda request: request in out or request in self._asking, self.beside.hand_over)
+        self._recovery.hand_over(lambda request: request in out or request in self._asking, self.beside.hand_over)
 
     def held_elsewhere(self, changes: KeyChanges) -> None:
         """What other processes of this sender hold of ordered keys, and what of that has ended."""
         for kept in changes.held:
             with suppress(Refused):  # its class went in no order when it was taken
-                if key := self._b.key_on_record(kept):
-                    self._b.facade.report(KeyHeld(kept.id, key, kept.taken_at))
+                if key := self._context.key_on_record(kept):
+                    self._context.facade.report(KeyHeld(kept.id, key, kept.taken_at))
         for request in changes.ended:
-            self._b.facade.report(Settled(request))
+            self._context.facade.report(Settled(request))
 
     def confirmed(self, request: str) -> None:
         """The platform has heard how a request ended."""
@@ -229,11 +235,11 @@
 
     def beat(self) -> None:
         """Run a decision pass if there is anything to decide, and carry out what it orders."""
-        now = self._b.clock()
-        if not self._b.facade.due(now):
+        now = self._context.clock()
+        if not self._context.facade.due(now):
             return
-        self._b.facade.tick(now)
-        orders = list(iter(self._b.facade.pick, None))
+        self._context.facade.tick(now)
+        orders = list(iter(self._context.facade.pick, None))
         finals = {order.request: order for order in orders if isinstance(order, Deny | Drop)}
         # Clients hear first: a dispatch counts only if its client knows that the request was taken.
         asking, self._asking = self._asking, {}
@@ -265,26 +271,26 @@
         """Tell a client its one answer; whether it was still there."""
         answer, request.answer = request.answer, None
         heard = answer(said)
-        if self._b.figures is not None and not isinstance(said, Taken):
-            self._b.figures.over(request.cls, "throttled" if isinstance(said, Busy) else "faulted")
-        if self._b.observer is not None:
+        if self._context.figures is not None and not isinstance(said, Taken):
+            self._context.figures.over(request.cls, "throttled" if isinstance(said, Busy) else "faulted")
+        if self._context.observer is not None:
             again = isinstance(said, Taken) and said.known
-            until = time.time() + request.until - self._b.clock()
-            self._b.observer.answered(request, said, heard, until, again)
+            until = time.time() + request.until - self._context.clock()
+            self._context.observer.answered(request, said, heard, until, again)
         return heard
 
     def _answer(self, request: Request, final: Deny | Drop | None) -> None:
         """Answer a client, on record first. What is not taken on is forgotten."""
         if final is not None:
-            self._b.requests.remove(request.id)
-            self._b.facade.report(Settled(request.id))
+            self._context.requests.remove(request.id)
+            self._context.facade.report(Settled(request.id))
             self._say(request, Busy(final.wait) if isinstance(final, Deny) else Failed("not delivered"))
             return
-        left = request.until - self._b.clock()
+        left = request.until - self._context.clock()
         kept = Kept(
             request.id,
             request.key,
-            self._b.rules.class_names[request.cls],
+            self._context.rules.class_names[request.cls],
             request.destination,
             time.time() + left,
             request.body,
@@ -292,23 +298,23 @@
             tenant=request.tenant,
             taken_at=request.taken_at,
         )
-        if not self._b.journal.take(kept):
-            self._b.requests.remove(request.id)
-            self._b.facade.report(Withdraw(request.id))
-            self._b.facade.report(Settled(request.id))
+        if not self._context.journal.take(kept):
+            self._context.requests.remove(request.id)
+            self._context.facade.report(Withdraw(request.id))
+            self._context.facade.report(Settled(request.id))
             self._say(request, self._no_room(request.destination))
         elif not self._say(request, Taken()):
             # Its client left unanswered and may hand it in again: nothing is owed, and nothing may be sent.
-            if self._b.figures is not None:
-                self._b.figures.over(request.cls, "throttled")
-            self._b.journal.end(request.id)
-            self._b.requests.remove(request.id)
-            self._b.facade.report(Withdraw(request.id))
+            if self._context.figures is not None:
+                self._context.figures.over(request.cls, "throttled")
+            self._context.journal.end(request.id)
+            self._context.requests.remove(request.id)
+            self._context.facade.report(Withdraw(request.id))
 
     def _dispatch(self, order: Dispatch, now: float) -> None:
         items, requests = [], []
         for item in order.items:
-            request = self._b.requests.get(item.request)
+            request = self._context.requests.get(item.request)
             apart = request is not None and items and (request.alone or requests[0].alone)
             if request is None or apart or self._held_back(request, now):
                 self.ended(order.server, item, "not sent", 0.0, tried=not apart)
@@ -316,7 +322,7 @@
             left = request.until - now
             items.append(item._replace(limit=min(item.limit or left, left)))
             requests.append(request)
-        if not self._b.rules.settings.second_copies:
+        if not self._context.rules.settings.second_copies:
             # A call is given up whole: one that is let go of while the call lasts could go out a second time.
             longest = max((item.limit for item in items), default=0.0)
             items = [
@@ -326,49 +332,49 @@
         if items:
             call = Call(self.backend, Dispatch(order.server, items), requests)
             self._calls.update(((item.request, item.attempt), call) for item in items)
-            if self._b.observer is not None:
-                self._b.observer.dispatched(order.server, items)
+            if self._context.observer is not None:
+                self._context.observer.dispatched(order.server, items)
             self._spawn(call.run())
 
     def _held_back(self, request: Request, now: float) -> bool:
         """While stopping, what may not be repeated and might not finish waits in the journal."""
-        if self._unsafe_until is None or now < self._unsafe_until or self._b.rules.repeatable(request.cls):
+        if self._unsafe_until is None or now < self._unsafe_until or self._context.rules.repeatable(request.cls):
             return False
-        self._b.requests.remove(request.id)
+        self._context.requests.remove(request.id)
         self._left += 1
-        self._b.facade.report(Withdraw(request.id))
+        self._context.facade.report(Withdraw(request.id))
         return True
 
     # --- What calls say (protocol.calls.Desk).
 
     def may_go(self, server: str, item: Item) -> bool:
         """The last look before the first byte goes out, and the record that it does."""
-        now, request = self._b.clock(), self._b.requests.get(item.request)
+        now, request = self._context.clock(), self._context.requests.get(item.request)
         if request is None or request.until <= now or self._held_back(request, now):
             why = "its request is over, or waits for the next life"
-        elif (closed := self._b.table.closed(server, now, request.destination)) is not None:
+        elif (closed := self._context.table.closed(server, now, request.destination)) is not None:
             why = closed
             log.info("dispatch of %s not sent: %s %s", item.request, server, closed)
         elif self._window_over(request, now):
             why = "it may have run, and the window for repeats is over"
-        elif not self._b.journal.sent(item.request, item.attempt):
+        elif not self._context.journal.sent(item.request, item.attempt):
             why = "the journal has no room"
         else:
             request.sent[item.attempt] = now
-            if self._b.observer is not None:
-                self._b.observer.sent(server, item)
+            if self._context.observer is not None:
+                self._context.observer.sent(server, item)
             return True
-        if self._b.observer is not None:
-            self._b.observer.held_up(server, item, why)
+        if self._context.observer is not None:
+            self._context.observer.held_up(server, item, why)
         return False
 
     def _window_over(self, request: Request, now: float) -> bool:
         """Danger: a repeat that was decided on in time; its connection came up after the receiver forgot the first."""
-        rules = self._b.rules.settings.classes[request.cls]
+        rules = self._context.rules.settings.classes[request.cls]
         return rules.effect is Effect.KEYED and bool(request.sent) and now > min(request.sent.values()) + rules.window
 
     def repeatable(self, request: Request) -> bool:
-        return self._b.rules.repeatable(request.cls)
+        return self._context.rules.repeatable(request.cls)
 
     def ended(
         self,
@@ -386,16 +392,16 @@
     ) -> None:
         """A dispatch has its outcome: on record what matters for the next life, then for the decisions."""
         self._calls.pop((item.request, item.attempt), None)
-        if self._b.observer is not None:
-            self._b.observer.outcome(server, item, how, elapsed, wait, over, read)
-        request = self._b.requests.get(item.request)
+        if self._context.observer is not None:
+            self._context.observer.outcome(server, item, how, elapsed, wait, over, read)
+        request = self._context.requests.get(item.request)
         if how in NEVER_RAN:
-            self._b.journal.never(item.request, item.attempt)
+            self._context.journal.never(item.request, item.attempt)
             if request is not None:
                 # Danger: servers that refuse connections would use up all attempts in no time. By the protocol a
                 # call counts once it has come to its server.
                 tried = request.sent.pop(item.attempt, None) is not None or tried and how != NOT_CONNECTED
-        self._b.facade.report(End(item.request, item.attempt, server, how, elapsed, wait, load, over, tried))
+        self._context.facade.report(End(item.request, item.attempt, server, how, elapsed, wait, load, over, tried))
         if owed:
             self._ends.finish(item.request, "undeliverable", {"id": item.request, "status": "undeliverable"})
         elif over or how == DELIVERED:
@@ -408,10 +414,10 @@
         self._ends.call_over(request)
 
     def delivered_late(self, request: str, due: float) -> None:
-        if self._b.requests.get(request) is not None:
-            if self._b.observer is not None:
-                self._b.observer.delivered_late(request)
-            self._b.facade.report(Withdraw(request))
+        if self._context.requests.get(request) is not None:
+            if self._context.observer is not None:
+                self._context.observer.delivered_late(request)
+            self._context.facade.report(Withdraw(request))
             self._ends.finish(request, "delivered", due=due)
 
     # --- Stopping.
@@ -421,11 +427,11 @@
 
     def hold_at_most(self, most: int) -> None:
         """So many requests from now on; those beyond it stay."""
-        self._b.requests.hold_at_most(most)
+        self._context.requests.hold_at_most(most)
 
     def open(self) -> int:
         """Messages that were taken on and have not ended, those left for the next life among them."""
-        return len(self._b.requests) - len(self._asking) + self._left
+        return len(self._context.requests) - len(self._asking) + self._left
 
     def stop_unsafe(self, at: float) -> None:
         """From then on start nothing that may not be repeated."""
@@ -433,7 +439,7 @@
 
     def finishing(self) -> bool:
         """While stopping: whether anything is left that this life can still bring to its end."""
-        late = self._unsafe_until is not None and self._b.clock() >= self._unsafe_until
-        return bool(self._calls or self._b.notices) or any(
-            not late or self._b.rules.repeatable(request.cls) for request in self._b.requests
+        late = self._unsafe_until is not None and self._context.clock() >= self._unsafe_until
+        return bool(self._calls or self._context.notices) or any(
+            not late or self._context.rules.repeatable(request.cls) for request in self._context.requests
         )
--- a/linkdock/service/operations.py
+++ b/linkdock/service/operations.py
@@ -11,8 +11,8 @@
 from ..protocol.admin import Admin, RefusalError
 from ..protocol.exposition import render
 from ..protocol.frontend import Frontend
-from ..sender.books import Books
-from ..sender.desk import Sender
+from ..sender.context import SenderContext
+from ..sender.sender import Sender
 from ..state.duty import Duty
 from ..state.figures import Figures
 from ..state.rotation import Rotation, TooManyError
@@ -41,10 +41,10 @@
         if len(self.rotation):
             log.info("out by hand from before: %s", ", ".join(self.rotation))
 
-    def count(self, books: Books, sender: Sender) -> None:
+    def count(self, context: SenderContext, sender: Sender) -> None:
         """Counts begin here, before what an earlier life left is taken up."""
         self._sender = sender
-        books.figures = sender.backend.figures = self.figures
+        context.figures = sender.backend.figures = self.figures
         sender.duty = self.duty
 
     def open(self, frontend: Frontend, wheel: Wheel, spawn: Callable) -> None:
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -21,8 +21,8 @@
 from ..protocol.frontend import Frontend
 from ..protocol.listening import BACKLOG, inherited
 from ..protocol.notices import Notices
-from ..sender.books import Books
-from ..sender.desk import Sender
+from ..sender.context import SenderContext
+from ..sender.sender import Sender
 from ..state.asking import Asking
 from ..state.journal import Journal
 from ..state.table import ServerTable
@@ -89,9 +89,9 @@
                 table.update(servers, version)
                 table.told = bool(servers)  # Danger: an empty one says nothing of what there is
                 facade.report(Table("kept", table.shown(servers), version))
-        books = Books(config, clock, facade, self._journal, table)
-        books.after = self._wheel.after
-        self.sender = Sender(books, self.spawn)
+        context = SenderContext(config, clock, facade, self._journal, table)
+        context.after = self._wheel.after
+        self.sender = Sender(context, self.spawn)
         idle_for = max(settings.idle_close - IDLE_MARGIN, settings.idle_close / 2)
         kept = switched.kept_pool(config, table, self._wheel, self.spawn, clock, idle_for)
         self._pool = ConnectionPool(self._wheel, idle_for, config.most_backends) if kept is None else kept
@@ -99,7 +99,9 @@
             self.sender, table, self._pool, self._wheel, clock, settings.connect_timeout, config.fields
         )
         self.sender.backend.kept = kept
-        self._notices = books.notices = Notices(config.discovery, self._wheel, self._wheel.pause, self.sender.confirmed)
+        self._notices = context.notices = Notices(
+            config.discovery, self._wheel, self._wheel.pause, self.sender.confirmed
+        )
         asking = Asking(
             config.paid_news,
             settings.relays,
@@ -119,11 +121,11 @@
             config.most_list,
         )
         self._observer = switched.observer(config, self._loop)
-        for part in (books, self.sender.backend, self._notices):
+        for part in (context, self.sender.backend, self._notices):
             part.observer = self._observer
-        self._undeliverable = books.undeliverable = switched.store(config, self._journal, self._loop)
+        self._undeliverable = context.undeliverable = switched.store(config, self._journal, self._loop)
         if self._operations is not None:
-            self._operations.count(books, self.sender)
+            self._operations.count(context, self.sender)
         if self._shift is not None:
             self._shift.join(self.sender, facade, table, self._operations)
         self.sender.restore()
--- a/linkdock/service/shift.py
+++ b/linkdock/service/shift.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from ..facade import Facade, Learned
-from ..sender.desk import Sender
+from ..sender.sender import Sender
 from ..state import board as notes
 from ..state.board import Board, Fact, Reader
 from ..state.journal import Journal, Kept, owed
--- a/tests/test_races_repeats.py
+++ b/tests/test_races_repeats.py
@@ -15,7 +15,7 @@
     def __init__(self, folder, effect):
         super().__init__(folder, effect)
         self.calls, self.heard, self.notices = [], [], []
-        self.sender._b.notices = self
+        self.sender._context.notices = self
         self.sender._spawn = self.calls.append
 
     def post(self, notice):
@@ -98,7 +98,7 @@
     d.ask()
     d.sender.beat()
     item = d.out()
-    d.now = d.sender._b.requests.get("aa01").until - left
+    d.now = d.sender._context.requests.get("aa01").until - left
     d.sender.ended("s1", item, DELIVERED, 0.1)
     assert [n["id"] for n in d.notices] == ["aa01"] * ends_by_notice
 
@@ -137,7 +137,7 @@
     d.sender.beat()
     d.sender.ended("s1", repeat, DELIVERED if written else NOT_SENT, 0.2)
     d.sender.beat()
-    assert not d.notices and not d.sender._b.journal.kept and len(d.calls) == 2
+    assert not d.notices and not d.sender._context.journal.kept and len(d.calls) == 2
     assert d.ask() == [Taken(known=True)]
 
 
@@ -161,7 +161,7 @@
     item = d.out()
     if how != TIMED_OUT:  # else the life ends while it is out
         d.sender.ended("s1", item, how, 0.1)
-    d.sender._b.journal.close()
+    d.sender._context.journal.close()
     d = desk(effect)
     d.sender.restore()
     for _ in range(200):
--- a/tests/test_races_restart.py
+++ b/tests/test_races_restart.py
@@ -196,7 +196,7 @@
 STARTS = """
 import os, signal
 if os.environ.get("SIGNALS"):
-    from linkdock.sender.desk import Sender
+    from linkdock.sender.sender import Sender
     restore = Sender.restore
 
     def signalled(self):
--- a/tests/test_races_windows.py
+++ b/tests/test_races_windows.py
@@ -7,8 +7,8 @@
 from linkdock.facade import ERROR, NOT_CONNECTED, Facade, Item, Server, Table
 from linkdock.interface import DestinationKind, Effect, MessageClass, Settings
 from linkdock.protocol.calls import Backend
-from linkdock.sender.books import Books
-from linkdock.sender.desk import Sender
+from linkdock.sender.context import SenderContext
+from linkdock.sender.sender import Sender
 from linkdock.state.journal import Journal
 from linkdock.state.requests import Request, Taken
 from linkdock.state.table import ServerTable
@@ -49,7 +49,7 @@
         table.update([Server("s1", ("127.0.0.1", 1), 1)], 1)
         facade = Facade(rules.settings, 1)
         facade.report(Table("whole", [Server("s1", ("127.0.0.1", 1), 1)], 1))
-        books = Books(rules, clock, facade, Journal(folder, 1_000_000), table)
+        books = SenderContext(rules, clock, facade, Journal(folder, 1_000_000), table)
         books.notices = Notices()
         self.sender = Sender(books, lambda work: work.close())
         wheel = Wheel(0.005, self.now, clock)
