--- a/linkdock/lab/grown.py
+++ b/linkdock/lab/grown.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from .. import interface as i
-from ..state.asking import AGENT, Asking
+from ..state.watch_schedule import AGENT_INTERVAL, WatchSchedule
 from .fleet import Positive, played, settings_of, spread, watched
 from .members import Member, Rules
 from .registry import Registry
@@ -95,7 +95,7 @@
         self.suspected: dict[tuple[int, int], float] = {}  # sender and destination: first held to be out
         self.known_at: dict[int, float] = {}  # when a sender had the whole of the list again
         self.worlds = [self._sender(me, seed) for me in range(plan.senders)]
-        self.asking = [self._asking(me, seed) for me in range(plan.senders)]
+        self.schedules = [self._schedule(me, seed) for me in range(plan.senders)]
         self._lives = [0] * plan.senders
         self._versions = [0] * plan.senders
         weights = [draw.expovariate(1.0) + 0.05 for _ in self.worlds]  # some see several times the mean
@@ -104,10 +104,10 @@
             world = draw.choices(self.worlds, weights)[0]
             world.ask(at, draw.choices(range(plan.destinations), shares)[0], int(draw.random() < 0.5), "all")
         for me in range(plan.senders):
-            self._watch(me, self.asking[me].first() if plan.asking == "spread" else 0.0)
+            self._watch(me, self.schedules[me].first_delay() if plan.asking == "spread" else 0.0)
 
-    def _asking(self, me: int, seed: int) -> Asking:
-        return Asking(True, self.plan.senders, 10.0, seed * 104_729 + me)
+    def _schedule(self, me: int, seed: int) -> WatchSchedule:
+        return WatchSchedule(True, self.plan.senders, 10.0, seed * 104_729 + me)
 
     def _sender(self, me: int, seed: int) -> World:
         # Slots and room as the platform gives them: by what a sender's share of the traffic keeps busy.
@@ -140,7 +140,7 @@
                 return  # that process has died
             if self.registry.ask(world.now, me, partial(self._take, me)):
                 return
-            pause = self.asking[me].again(served=False) if self.plan.asking == "spread" else AGENT
+            pause = self.schedules[me].next_delay(served=False) if self.plan.asking == "spread" else AGENT_INTERVAL
             world.at(world.now + ANSWER + pause, ask)
 
         world.at(world.now + after, ask)
@@ -171,8 +171,8 @@
             if entry.ready:
                 known[entry.host] = entry.entry
         world.restart(seed * 31 + me, i.Hosts(i.ListKind.CACHED, list(known.values()), self._versions[me]))
-        self.asking[me] = self._asking(me, seed + 17)
-        self._watch(me, self.asking[me].first() if self.plan.asking == "spread" else 0.0)
+        self.schedules[me] = self._schedule(me, seed + 17)
+        self._watch(me, self.schedules[me].first_delay() if self.plan.asking == "spread" else 0.0)
 
     # --- The clock.
 
--- a/linkdock/protocol/discovery.py
+++ b/linkdock/protocol/discovery.py
@@ -13,8 +13,8 @@
 
 from ..errors import LinkdockError, log_line
 from ..facade import Server
-from ..state.asking import SILENCE, Asking
 from ..state.roster import Roster
+from ..state.watch_schedule import SILENCE_TIMEOUT, WatchSchedule
 from ..state.wheel import Timer, Wheel
 from . import http
 from .listing import BadListError, ListReader, Rows
@@ -184,7 +184,7 @@
         self,
         dial: tuple[str, int],
         wheel: Wheel,
-        asking: Asking,
+        schedule: WatchSchedule,
         zones: list[str],
         kinds: list[str],
         version: Callable[[], int],
@@ -192,7 +192,7 @@
         most_list: int,
     ) -> None:
         """Watch discovery at `dial`; `zones` and `kinds` give the numbers of their names, `version` the list's own."""
-        self._dial, self._wheel, self._asking = dial, wheel, asking
+        self._dial, self._wheel, self._schedule = dial, wheel, schedule
         self._zones, self._kinds, self._version = zones, kinds, version
         self._desk, self._most_list = desk, most_list
         self._stream: IOStream | None = None
@@ -204,7 +204,7 @@
 
     async def run(self) -> None:
         """Open the watch and open it again whenever it ends; returns after `close`."""
-        await self._rest(self._asking.first())
+        await self._rest(self._schedule.first_delay())
         while not self._closed:
             self._served = False
             try:
@@ -222,7 +222,7 @@
             finally:
                 if self._stream is not None:  # else there was no descriptor for it
                     self._stream.close()
-            pause = self._asking.moved() if self._moved else self._asking.again(self._served)
+            pause = self._schedule.moved_delay() if self._moved else self._schedule.next_delay(self._served)
             if not self._served and pause > 1.0:
                 log.info("discovery: asked again in %.1f s", pause)
             await self._rest(pause)
@@ -239,7 +239,7 @@
     async def _watch(self) -> None:
         self._stream = stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM), max_buffer_size=1 << 20)
         # Danger: discovery that is down stays silent on an open connection, and so does one cut off.
-        timer = self._wheel.after(self._asking.patience(), stream.close)
+        timer = self._wheel.after(self._schedule.answer_timeout(), stream.close)
         try:
             await stream.connect(self._dial)
             path = f"/api/targets?watch=1&from={self._version()}"
@@ -263,7 +263,7 @@
                 if reader.rows != rows and now - since < MOST_LINE:
                     rows = reader.rows
                     timer.cancel()
-                    timer = self._wheel.after(SILENCE, stream.close)
+                    timer = self._wheel.after(SILENCE_TIMEOUT, stream.close)
                 # Danger: a long list that has all come in. Without a turn for others no tick runs until its end.
                 await asyncio.sleep(0)
         finally:
@@ -284,7 +284,7 @@
         self._dial = dial
         if self._resting is not None:
             self._resting.cancel()
-            self._resting = self._wheel.after(self._asking.moved(), self._rested.set)
+            self._resting = self._wheel.after(self._schedule.moved_delay(), self._rested.set)
             return
         self._moved = True
         if self._stream is not None:
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -23,9 +23,9 @@
 from ..protocol.notices import Notices
 from ..sender.books import Books
 from ..sender.desk import Sender
-from ..state.asking import Asking
 from ..state.journal import Journal
 from ..state.table import ServerTable
+from ..state.watch_schedule import WatchSchedule
 from ..state.wheel import Wheel
 from . import switched
 from .config import Config, ConfigError, load, reload
@@ -99,11 +99,13 @@
         )
         self.sender.backend.kept = kept
         self._notices = books.notices = Notices(config.discovery, self._wheel, self._wheel.pause, self.sender.confirmed)
-        asking = Asking(config.paid_news, settings.relays, settings.ask_within, config.seed, not len(table.roster))
+        schedule = WatchSchedule(
+            config.paid_news, settings.relays, settings.ask_within, config.seed, not len(table.roster)
+        )
         self._watch = Watch(
             config.discovery,
             self._wheel,
-            asking,
+            schedule,
             config.zones,
             config.kinds,
             lambda: table.version,
--- a/tests/test_races_lists.py
+++ b/tests/test_races_lists.py
@@ -11,8 +11,8 @@
 from linkdock.protocol import http
 from linkdock.protocol.discovery import Watch
 from linkdock.protocol.listing import ListReader, Rows, Told
-from linkdock.state.asking import AGENT, PROMPT, SILENCE, Asking
 from linkdock.state.table import ServerTable
+from linkdock.state.watch_schedule import AGENT_INTERVAL, PROMPT_TIMEOUT, SILENCE_TIMEOUT, WatchSchedule
 from linkdock.state.wheel import Wheel
 
 PATIENCE = 10.0
@@ -61,12 +61,12 @@
 class Story:
     """One watch, and the table that it tells."""
 
-    def __init__(self, patch, asking=None):
+    def __init__(self, patch, schedule=None):
         self.now, self.read = 100.0, 0
         self.wheel = Wheel(0.005, self.now, lambda: self.now)
         self.table = ServerTable([False], lambda: self.now)
         self.table.update([], 7)
-        self.asking = asking or Asking(False, 1, 10.0, 1)
+        self.schedule = schedule or WatchSchedule(False, 1, 10.0, 1)
         feed = http.AnswerParser.feed
 
         def counted(parser, data):
@@ -88,7 +88,7 @@
     async def open(self):
         self.agent, self.other = await Agent().open(), await Agent().open()
         self.watch = Watch(
-            self.agent.dial, self.wheel, self.asking, ["a"], ["x"], lambda: self.table.version, self, 1 << 20
+            self.agent.dial, self.wheel, self.schedule, ["a"], ["x"], lambda: self.table.version, self, 1 << 20
         )
         running = asyncio.get_running_loop().create_task(self.watch.run())
         await self.passed(0.01)
@@ -131,7 +131,7 @@
 
     async def again(self, agent=None):
         """The next ask, at an agent's pace."""
-        await self.passed(AGENT + TICK)
+        await self.passed(AGENT_INTERVAL + TICK)
         return await (agent or self.agent).asked()
 
 
@@ -160,7 +160,7 @@
             assert "from=7 " in await one.agent.asked()
             if said:
                 await one.say(said)
-            await one.given_up(SILENCE if said else PROMPT)
+            await one.given_up(SILENCE_TIMEOUT if said else PROMPT_TIMEOUT)
             whole = b"]}" in said
             assert f"from={8 if whole else 7} " in await one.again()
             await one.say(HEAD + chunk(line([row("s9")], 9, whole=True)))
@@ -268,7 +268,12 @@
     async def story():
         one = Story(
             monkeypatch,
-            SimpleNamespace(first=lambda: 0.0, patience=lambda: SILENCE, moved=lambda: 1.0, again=lambda served: 5.0),
+            SimpleNamespace(
+                first_delay=lambda: 0.0,
+                answer_timeout=lambda: SILENCE_TIMEOUT,
+                moved_delay=lambda: 1.0,
+                next_delay=lambda served: 5.0,
+            ),
         )
         async with one.open():
             await one.agent.asked()
@@ -320,10 +325,10 @@
                 await one.agent.asked()
                 if not down:
                     await one.say(b"HTTP/1.1 503 Told\r\nContent-Length: 0\r\n\r\n")
-                await one.passed((PROMPT if down else 0.0) + AGENT - 2 * TICK)
+                await one.passed((PROMPT_TIMEOUT if down else 0.0) + AGENT_INTERVAL - 2 * TICK)
                 assert one.agent.opened.empty()  # no sooner
                 await one.passed(4 * TICK)
-            assert one.now - began < 12 * (PROMPT + AGENT + 3 * TICK)
+            assert one.now - began < 12 * (PROMPT_TIMEOUT + AGENT_INTERVAL + 3 * TICK)
             await one.agent.asked()
             await one.say(HEAD + chunk(CHANGE))
             assert one.ready() == ["s1", "s2"]
@@ -332,11 +337,12 @@
 
 
 def test_after_a_long_outage_too_most_asks_are_given_up_soon():
-    asking, waited = Asking(False, 1, 10.0, 1), []
+    schedule, waited = WatchSchedule(False, 1, 10.0, 1), []
     for _ in range(300):
-        waited.append(asking.patience())
-        asking.again(served=False)
-    assert waited[:64] == [PROMPT] * 64 and waited.count(SILENCE) == 4 and set(waited) == {PROMPT, SILENCE}
+        waited.append(schedule.answer_timeout())
+        schedule.next_delay(served=False)
+    assert waited[:64] == [PROMPT_TIMEOUT] * 64 and waited.count(SILENCE_TIMEOUT) == 4
+    assert set(waited) == {PROMPT_TIMEOUT, SILENCE_TIMEOUT}
 
 
 # --- What cannot be read.
--- a/tests/test_asking.py
+++ b/tests/test_watch_schedule.py
@@ -7,13 +7,13 @@
 from test_operations import figures, ops
 from test_stories import socket_that_is_called
 
-from linkdock.state.asking import AGENT, MOVED, SILENCE, Asking
+from linkdock.state.watch_schedule import AGENT_INTERVAL, MOST_MOVED_DELAY, SILENCE_TIMEOUT, WatchSchedule
 
 WITHIN = 10.0
 
 
 def fleet(senders, paid=True):
-    return [Asking(paid, senders, WITHIN, seed=n) for n in range(senders)]
+    return [WatchSchedule(paid, senders, WITHIN, seed=n) for n in range(senders)]
 
 
 def most_in(times, span):
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("senders", [3, 40, 200])
 def test_a_fleet_that_starts_together_spreads_its_first_asks_within_half_the_period(senders):
-    first = [asking.first() for asking in fleet(senders)]
+    first = [schedule.first_delay() for schedule in fleet(senders)]
     span = min(0.08 * senders, WITHIN / 2)
     assert 0 <= min(first) and max(first) <= span
     assert most_in(first, span / 10) <= max(3, 0.25 * senders)  # a tenth of the span, and no crowd in it
@@ -30,44 +30,44 @@
 
 def test_refusals_on_end_are_met_with_growing_pauses_that_differ_and_stay_bounded():
     senders = fleet(40)
-    rounds = [[asking.again(served=False) for asking in senders] for _ in range(6)]
+    rounds = [[schedule.next_delay(served=False) for schedule in senders] for _ in range(6)]
     for pauses, base in zip(rounds, (1.25, 2.5, 5.0, 5.0, 5.0, 5.0), strict=True):
         assert 0.5 * base <= min(pauses) and max(pauses) <= 1.5 * base
         assert most_in(pauses, base / 10) < 0.4 * len(senders)  # they do not come back in step
-    assert rounds[0] == [asking.again(served=False) for asking in fleet(40)]  # by the seed alone
+    assert rounds[0] == [schedule.next_delay(served=False) for schedule in fleet(40)]  # by the seed alone
 
 
 def test_news_that_came_ends_the_backing_off_and_a_common_break_is_spread_again():
     senders = fleet(40)
-    for asking in senders:
+    for schedule in senders:
         for _ in range(5):
-            asking.again(served=False)
-    after = [asking.again(served=True) for asking in senders]
-    assert AGENT <= min(after) and max(after) <= AGENT + 3.2 and most_in(after, 0.32) < 16
-    assert max(asking.again(served=False) for asking in senders) <= 1.5 * 1.25
-    assert max(asking.moved() for asking in senders) <= MOVED
+            schedule.next_delay(served=False)
+    after = [schedule.next_delay(served=True) for schedule in senders]
+    assert AGENT_INTERVAL <= min(after) and max(after) <= AGENT_INTERVAL + 3.2 and most_in(after, 0.32) < 16
+    assert max(schedule.next_delay(served=False) for schedule in senders) <= 1.5 * 1.25
+    assert max(schedule.moved_delay() for schedule in senders) <= MOST_MOVED_DELAY
 
 
 @pytest.mark.parametrize("senders", [3, 40, 100, 200])
 def test_a_watch_that_fell_silent_is_opened_anew_before_what_it_missed_binds(senders):
     """Told 6 s after it fell silent, binding 2 s after that; a tenth of a second is left for the answer."""
     for seed in range(200):
-        asking = Asking(True, senders, 10.0, seed)
-        asking.first()
-        assert SILENCE + asking.again(True) < 6.0 + 2.0 - 0.1
+        schedule = WatchSchedule(True, senders, 10.0, seed)
+        schedule.first_delay()
+        assert SILENCE_TIMEOUT + schedule.next_delay(True) < 6.0 + 2.0 - 0.1
 
 
 def test_one_that_has_no_list_asks_within_a_second_and_then_as_all_do():
-    bare = [Asking(True, 40, WITHIN, seed=n, nothing=True) for n in range(40)]
-    first = [asking.first() for asking in bare]
+    bare = [WatchSchedule(True, 40, WITHIN, seed=n, nothing=True) for n in range(40)]
+    first = [schedule.first_delay() for schedule in bare]
     assert max(first) <= 1.0 and most_in(first, 0.1) < 16
-    assert max(asking.again(served=True) for asking in bare) > 1.5
+    assert max(schedule.next_delay(served=True) for schedule in bare) > 1.5
 
 
 def test_an_agent_is_asked_at_once_and_at_an_even_pace():
-    asking = Asking(False, 200, WITHIN, 1)
-    assert (asking.first(), asking.moved()) == (0.0, 0.0)
-    assert [asking.again(served) for served in (False, False, True)] == [AGENT] * 3
+    schedule = WatchSchedule(False, 200, WITHIN, 1)
+    assert (schedule.first_delay(), schedule.moved_delay()) == (0.0, 0.0)
+    assert [schedule.next_delay(served) for served in (False, False, True)] == [AGENT_INTERVAL] * 3
 
 
 class Overbooked(Discovery):
