--- a/linkdock/protocol/client_session.py
+++ b/linkdock/protocol/client_session.py
@@ -19,7 +19,7 @@
 from .connection_table import ConnectionEntry, ConnectionState
 
 if TYPE_CHECKING:
-    from ..state.duty import Duty
+    from ..state.serving_mode import ServingMode
 
 BUFFER = 128 * 1024  # bytes of one connection: one command, and the start of a next
 COMMAND_TIMEOUT = 2.0  # seconds from connecting, or from a later command's first byte, to the command's last
@@ -45,7 +45,7 @@
 class Owner(Protocol):
     """What a session needs of whoever holds all of them."""
 
-    duty: Duty | None
+    serving_mode: ServingMode | None
     ending: bool  # nothing more is read
 
     def drop(self, session: ClientSession, why: str) -> None:
@@ -167,8 +167,8 @@
             await self._write(await self._enqueue(words))
             return True
         if name == b"PING":
-            duty = self._owner.duty
-            why = None if duty is None else duty.sends_away()
+            mode = self._owner.serving_mode
+            why = None if mode is None else mode.sends_away()
             reply = resp.simple("PONG") if why is None else resp.error(f"ERR {why}")
         elif name == b"QUIT":
             reply = resp.simple("OK")
--- a/linkdock/protocol/frontend.py
+++ b/linkdock/protocol/frontend.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from ..admission.gate import Gate
     from ..records.observer import Observer
-    from ..state.duty import Duty
+    from ..state.serving_mode import ServingMode
 
 
 class Frontend:
@@ -54,7 +54,7 @@
         self.ending = False  # nothing more is read
         self._last_early = 0  # number of the last connection that may have waited for the start
         self.observer: Observer | None = None  # of the records, where they are on
-        self.duty: Duty | None = None  # whether clients are taken, where there are operators
+        self.serving_mode: ServingMode | None = None  # whether clients are taken, where there are operators
         self.port = sockets[0].getsockname()[1]
         self._listener = Listener(sockets, wheel, self._accepted)
 
@@ -174,7 +174,7 @@
         """
         if self.ending:
             return not session.next_read.done()
-        if self._accepting and (self.duty is None or self.duty.taking):
+        if self._accepting and (self.serving_mode is None or self.serving_mode.taking):
             return False
         return session.between_commands()
 
--- a/linkdock/sender/desk.py
+++ b/linkdock/sender/desk.py
@@ -35,7 +35,7 @@
 from .lives import Lives
 
 if TYPE_CHECKING:
-    from ..state.duty import Duty
+    from ..state.serving_mode import ServingMode
     from ..undeliverable.facts import Message
 
 log = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
         self._unsafe_until: float | None = None  # set while stopping
         self._left = 0  # requests left for the next life
         self.spread: Callable[[float], float] | None = None  # of times to come back, where the gate is on
-        self.duty: Duty | None = None  # whether clients are taken, where there are operators
+        self.duty: ServingMode | None = None  # whether clients are taken, where there are operators
         self.beside: Beside | None = None  # where another process of this sender may live
         self.backend: Backend
 
--- a/linkdock/service/operations.py
+++ b/linkdock/service/operations.py
@@ -13,9 +13,9 @@
 from ..protocol.frontend import Frontend
 from ..sender.books import Books
 from ..sender.desk import Sender
-from ..state.duty import Duty
 from ..state.figures import Figures
 from ..state.rotation import Rotation, TooManyError
+from ..state.serving_mode import ServingMode
 from ..state.table import ServerTable
 from ..state.wheel import Wheel
 
@@ -32,7 +32,7 @@
 
     def __init__(self, config: Config, clock: Callable[[], float], facade: Facade, table: ServerTable) -> None:
         self._config, self._clock, self._facade, self._table = config, clock, facade, table
-        self.figures, self.duty = Figures(config.class_names), Duty()
+        self.figures, self.serving_mode = Figures(config.class_names), ServingMode()
         self.rotation = Rotation(config.state / FILE, time.time)
         table.out = self.rotation
         self._sender: Sender
@@ -45,12 +45,12 @@
         """Counts begin here, before what an earlier life left is taken up."""
         self._sender = sender
         books.figures = sender.backend.figures = self.figures
-        sender.duty = self.duty
+        sender.duty = self.serving_mode
 
     def open(self, frontend: Frontend, wheel: Wheel, spawn: Callable) -> None:
         """Clients are taken from now on, and operators are answered. Raises OSError."""
         self._frontend = frontend
-        frontend.duty = self.duty
+        frontend.serving_mode = self.serving_mode
         self._admin = Admin(self, self._config.admin, wheel, spawn)
         log.info("operators are answered on %s:%d", self._config.admin[0], self._admin.port)
 
@@ -82,9 +82,9 @@
     # --- The calls.
 
     def status(self) -> str:
-        if not self.duty.taking:
-            raise RefusalError(self.duty.state)
-        return self.duty.state
+        if not self.serving_mode.taking:
+            raise RefusalError(self.serving_mode.state)
+        return self.serving_mode.state
 
     def stats(self) -> list[str]:
         avoided = {name for name in (*self.rotation, *self._facade.stopped()) if self._listed(name)}
@@ -121,16 +121,16 @@
         return f"{name} may serve again"
 
     def standby(self) -> str:
-        if self.duty.standby(self._clock()):
+        if self.serving_mode.standby(self._clock()):
             log.info("standby: clients are sent away")
             self._frontend.empty()
         return "clients are sent away"
 
     def active(self) -> str:
-        if not self.duty.active():
-            raise RefusalError(self.duty.state)
+        if not self.serving_mode.active():
+            raise RefusalError(self.serving_mode.state)
         log.info("active: clients are taken")
-        return self.duty.state
+        return self.serving_mode.state
 
     def close(self) -> None:
         if self._admin is not None:
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -288,7 +288,7 @@
         log.info("stopping")
         self._leave_fleet()
         if self._operations is not None:
-            self._operations.duty.stop()
+            self._operations.serving_mode.stop()
         if self._observer is not None:
             self._observer.stopping()
         self.sender.stop_unsafe(self._loop.time() + NO_UNSAFE_AFTER)
--- a/linkdock/state/duty.py
+++ b/linkdock/state/serving_mode.py
@@ -10,15 +10,15 @@
 
 TAKING, EMPTYING, STOPPING = "taking clients", "standby", "stopping"
 
-LAG = 1.0  # seconds after `standby` in which what still comes is served; later it is denied
-FIRST = 1.0  # seconds that a new connection has for its first command meanwhile
-AGAIN = 1.0  # seconds after which one that is denied should come back, by then to another sender
+STANDBY_GRACE = 1.0  # seconds after `standby` in which what still comes is served; later it is denied
+FIRST_COMMAND_TIMEOUT = 1.0  # seconds that a new connection has for its first command meanwhile
+RETRY_AFTER = 1.0  # seconds after which one that is denied should come back, by then to another sender
 
 
-class Duty:
+class ServingMode:
     """Times are seconds of one clock that never runs back."""
 
-    again = AGAIN
+    again = RETRY_AFTER
 
     def __init__(self) -> None:
         """Begin by taking clients."""
@@ -52,4 +52,4 @@
 
     def denies(self, now: float) -> bool:
         """Whether messages are turned away: in standby, once the front must have heard the no."""
-        return self.state is EMPTYING and now - self._since > LAG
+        return self.state is EMPTYING and now - self._since > STANDBY_GRACE
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,9 +12,9 @@
 
 from linkdock.protocol.admin import CALLS, MOST, MOST_LINE, RefusalError, answer
 from linkdock.protocol.exposition import escaped, render
-from linkdock.state.duty import LAG, Duty
 from linkdock.state.figures import ENDS, Figures
 from linkdock.state.rotation import KEPT_FOR, MOST_OUT, Rotation, TooManyError
+from linkdock.state.serving_mode import STANDBY_GRACE, ServingMode
 
 
 @pytest.fixture
@@ -127,7 +127,7 @@
         "linkdock.protocol.admin",
         "linkdock.state.figures",
         "linkdock.state.rotation",
-        "linkdock.state.duty",
+        "linkdock.state.serving_mode",
         "linkdock.protocol.exposition",
     ]
     code = f"import sys, linkdock.service.run; print([n for n in {names!r} if n in sys.modules])"
@@ -298,14 +298,16 @@
 
 
 def test_the_states_of_duty():
-    duty = Duty()
-    assert duty.taking and duty.standby(10.0) and not duty.standby(10.0 + LAG)  # the second changes nothing
-    assert not duty.denies(10.0 + LAG) and duty.denies(10.1 + LAG) and duty.sends_away() == "standby"
-    assert duty.active() and duty.taking and not duty.denies(20.0)
-    assert duty.active()  # without a standby before
-    duty.standby(30.0)
-    duty.stop()
-    assert not duty.active() and not duty.standby(31.0) and not duty.denies(99.0) and duty.sends_away() is None
+    mode = ServingMode()
+    assert mode.taking and mode.standby(10.0) and not mode.standby(10.0 + STANDBY_GRACE)  # the second changes nothing
+    assert (
+        not mode.denies(10.0 + STANDBY_GRACE) and mode.denies(10.1 + STANDBY_GRACE) and mode.sends_away() == "standby"
+    )
+    assert mode.active() and mode.taking and not mode.denies(20.0)
+    assert mode.active()  # without a standby before
+    mode.standby(30.0)
+    mode.stop()
+    assert not mode.active() and not mode.standby(31.0) and not mode.denies(99.0) and mode.sends_away() is None
 
 
 def test_standby_sends_clients_away_and_finishes_what_was_taken(start):
