--- a/linkdock/connections/ahead.py
+++ b/linkdock/connections/ahead.py
@@ -1,6 +1,7 @@
 """Who should have how many connections: what each lacks that is worth opening before it is needed, and fair parts.
 
-No I/O. It looks at the stock and changes nothing there but what is known of a server; `Keeper` opens and closes.
+No I/O. It looks at the table of endpoints and changes nothing there but what is known of a server; `Keeper` opens and
+closes.
 """
 
 from __future__ import annotations
@@ -8,32 +9,32 @@
 from collections.abc import Callable, Iterable
 
 from .demand import HOLD, shares
+from .endpoint_table import EndpointTable
 from .orders import ROUND, Endpoint
-from .stock import Stock
 
 RESERVE = 0.1  # of all connections: kept free of those opened ahead
 WAITS = "asked to wait"  # as the server table says it
 
 
 class Ahead:
-    """What the stock lacks, and who goes without where there is not enough for all."""
+    """What the table lacks, and who goes without where there is not enough for all."""
 
-    def __init__(self, stock: Stock) -> None:
-        """`stock` holds the connections to look at."""
-        self._stock = stock
+    def __init__(self, table: EndpointTable) -> None:
+        """`table` holds the connections to look at."""
+        self._table = table
 
     def most(self) -> int:
         """Connections up to which some are opened ahead."""
-        return int(self._stock.most * (1 - RESERVE))
+        return int(self._table.most * (1 - RESERVE))
 
     def parts(self, now: float) -> dict[str, int] | None:
         """What each may have of all connections; None where there is enough for all."""
-        stock = self._stock
-        if 2 * stock.count < stock.most:
+        table = self._table
+        if 2 * table.count < table.most:
             return None
         needs = {
-            server: max(stock.target(now, server, e), e.busy + e.opening + len(e.waiting))
-            for server, e in stock.endpoints.items()
+            server: max(table.target(now, server, e), e.busy + e.opening + len(e.waiting))
+            for server, e in table.endpoints.items()
             if e.held or e.waiting
         }
         most = self.most()
@@ -41,14 +42,14 @@
 
     def deserving(self, now: float, server: str, endpoint: Endpoint) -> str | None:
         """A server that has less than its part and whose calls found no room, where this one has all of its own."""
-        stock = self._stock
-        if not stock.short or stock.count < stock.most:
+        table = self._table
+        if not table.short or table.count < table.most:
             return None
         parts = self.parts(now)
         if parts is None or endpoint.held < parts.get(server, 0):
             return None
-        for other in stock.short:
-            known = stock.endpoints.get(other)
+        for other in table.short:
+            known = table.endpoints.get(other)
             if other != server and known is not None and known.waiting and known.held < max(1, parts.get(other, 0)):
                 return other
         return None
@@ -58,20 +59,20 @@
 
         `blocked` says why nothing may be sent to a server just now.
         """
-        stock, lacks, parts = self._stock, {}, self.parts(now)
+        table, lacks, parts = self._table, {}, self.parts(now)
         for server in names:
-            endpoint = stock.endpoints.get(server)
+            endpoint = table.endpoints.get(server)
             if endpoint is None or now - endpoint.asked_at >= HOLD:
                 continue
-            target = stock.target(now, server, endpoint)
+            target = table.target(now, server, endpoint)
             if parts is not None:
                 target = min(target, parts.get(server, 0))
-            lack = min(target, stock.ceiling(endpoint)) - endpoint.busy - endpoint.opening - stock.usable(now, endpoint)
+            lack = min(target, table.ceiling(endpoint)) - endpoint.busy - endpoint.opening - table.usable(now, endpoint)
             past, endpoint.looked_at = min(now - endpoint.looked_at, 1.0), now
             if lack > 0 and self._may(now, server, endpoint, blocked):
-                rate = stock.settings.ahead
+                rate = table.settings.ahead
                 endpoint.tokens = min(
-                    endpoint.tokens + rate * stock.warmth(now, endpoint) * past, max(1.0, rate * ROUND)
+                    endpoint.tokens + rate * table.warmth(now, endpoint) * past, max(1.0, rate * ROUND)
                 )
                 lacks[server] = lack
         return lacks
--- a/linkdock/connections/stock.py
+++ b/linkdock/connections/endpoint_table.py
@@ -17,7 +17,7 @@
 FRESH_FOR = 0.05  # seconds in which one that was never used counts as new
 
 
-class Stock:
+class EndpointTable:
     """The connections of all servers. `most` bounds them, those being opened among them."""
 
     def __init__(
--- a/linkdock/connections/keeper.py
+++ b/linkdock/connections/keeper.py
@@ -13,8 +13,8 @@
 from .ahead import Ahead
 from .choice import Choice, ConnectionsSettings
 from .demand import HOLD
+from .endpoint_table import EndpointTable
 from .orders import CAP_HOLD, REFUSALS, ROUND, Action, Close, Endpoint, Fail, Open, Ticket, Use
-from .stock import Stock
 
 __all__ = ["CAP_HOLD", "HOLD", "REFUSALS", "ROUND", "Action", "Close", "Fail", "Keeper", "Open", "Ticket", "Use"]
 
@@ -23,7 +23,7 @@
 SLICE = 256  # servers that one round looks at
 
 
-class Keeper(Stock):
+class Keeper(EndpointTable):
     """The state machine of all that happens to connections; it carries nothing out.
 
     Seconds: `idle_for` as the server's idle-close allows, `connect_timeout` until a call without a connection fails,
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -177,7 +177,7 @@
         "connections.choice",
         "connections.keeper",
         "connections.kept",
-        "connections.stock",
+        "connections.endpoint_table",
     )
     code = f"import sys, linkdock.service.run; print([n for n in {off!r} if 'linkdock.' + n in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT.parent, timeout=30)
