--- a/linkdock/connections/ahead.py
+++ b/linkdock/connections/ahead.py
@@ -1,7 +1,7 @@
 """Who should have how many connections: what each lacks that is worth opening before it is needed, and fair parts.
 
-No I/O. It looks at the table of endpoints and changes nothing there but what is known of a server; `Keeper` opens and
-closes.
+No I/O. It looks at the table of endpoints and changes nothing there but what is known of a server; `ConnectionManager`
+opens and closes.
 """
 
 from __future__ import annotations
--- a/linkdock/connections/endpoint_table.py
+++ b/linkdock/connections/endpoint_table.py
@@ -1,6 +1,7 @@
 """What is held: connections that lie idle, are used or opened, the calls that wait, and the room for more. No I/O.
 
-Events come in by the `Keeper`, which is built on this; here each connection is counted once and given up in one place.
+Events come in by the `ConnectionManager`, which is built on this; here each connection is counted once and given up in
+one place.
 """
 
 from __future__ import annotations
--- a/linkdock/connections/kept.py
+++ b/linkdock/connections/kept.py
@@ -1,4 +1,4 @@
-"""The pool that the keeper's orders are carried out by, on sockets: on by `deploy/connections.json`.
+"""The pool that the manager's orders are carried out by, on sockets: on by `deploy/connections.json`.
 
 It has the plain pool's face for what ends a connection's use, and `ask` in place of `take` and `open`.
 """
@@ -19,7 +19,7 @@
 from ..streams import seen, silent
 from . import view
 from .choice import Choice, ConnectionsSettings
-from .keeper import Keeper
+from .manager import ConnectionManager
 from .orders import ROUND, Action, Close, Fail, Open, Ticket, Use
 from .pool import BEHIND, BUFFER, Connection, PoolFull, new_stream
 
@@ -56,7 +56,9 @@
     ) -> None:
         """`blocked` says why a server may not be dialled now, if so; `most` connections are held at once."""
         self._wheel, self._spawn, self._blocked, self._connect_timeout = wheel, spawn, blocked, connect_timeout
-        self.keeper = Keeper(settings, Choice(settings), most, idle_for, connect_timeout, cold_share, cold_time)
+        self.manager = ConnectionManager(
+            settings, Choice(settings), most, idle_for, connect_timeout, cold_share, cold_time
+        )
         self._opening: set[Connection] = set()
         self._resting: set[Connection] = set()
         self._idle: set[Connection] = set()
@@ -74,44 +76,44 @@
         It fails with PoolFull if none is to be had in time, with StreamClosedError if the server cannot be reached.
         """
         asked = Asked(server, kind, dial, careful)
-        self._do(self.keeper.ask(self._wheel.now, asked))
+        self._do(self.manager.ask(self._wheel.now, asked))
         return asked
 
     def give_up(self, asked: Asked) -> None:
         """The call is over before it was given a connection; one that it was given just now goes back."""
         if not asked.got.done():
-            self.keeper.give_up(self._wheel.now, asked)
+            self.manager.give_up(self._wheel.now, asked)
             asked.got.set_exception(StreamClosedError())
 
     def __len__(self) -> int:
         """Connections that are up or being opened."""
-        return len(self.keeper)
+        return len(self.manager)
 
     def hold_at_most(self, most: int) -> None:
         """So many from now on; idle ones beyond it are closed."""
-        self._do(self.keeper.hold_at_most(self._wheel.now, most))
+        self._do(self.manager.hold_at_most(self._wheel.now, most))
 
     def serves(self, server: str) -> bool:
         """Whether a connection to it is up, so that a call which got none was only not served in time."""
-        return self.keeper.serves(server)
+        return self.manager.serves(server)
 
     def used(self, connection: Connection, alive: bool, seconds: float = 0.0) -> None:
         """The server has begun to answer on it, so long after the request, or it broke before anything came."""
         if alive:
-            self.keeper.answered(self._wheel.now, connection, seconds)
+            self.manager.answered(self._wheel.now, connection, seconds)
         else:
-            self.keeper.reset(self._wheel.now, connection)
+            self.manager.reset(self._wheel.now, connection)
 
     def told_full(self, connection: Connection, seconds: float) -> None:
         """The server answered, so fast, that it takes no more."""
-        self.keeper.told_full(self._wheel.now, connection, seconds)
+        self.manager.told_full(self._wheel.now, connection, seconds)
 
     def give_back(self, connection: Connection) -> None:
         """The call is over and the connection can carry another, once it has lain in silence."""
         if self._closed or not self._listen(connection):
             return self.discard(connection)
         self._resting.add(connection)
-        self.keeper.rests(connection)
+        self.manager.rests(connection)
         connection.timer = self._wheel.after(BEHIND, partial(self._rested, connection))
 
     def _rested(self, connection: Connection) -> None:
@@ -121,12 +123,12 @@
         if not silent(connection.stream, connection.first):
             return self.discard(connection)
         self._idle.add(connection)
-        self._do(self.keeper.give_back(self._wheel.now, connection))
+        self._do(self.manager.give_back(self._wheel.now, connection))
 
     def discard(self, connection: Connection) -> None:
         """The call is over and so is the connection."""
         connection.stream.close()
-        self._do(self.keeper.ended(self._wheel.now, connection))
+        self._do(self.manager.ended(self._wheel.now, connection))
 
     def retire(self, server: str) -> None:
         """Close the idle connections to one server."""
@@ -134,9 +136,9 @@
             connection.timer.cancel()
             self._resting.discard(connection)
             self.discard(connection)
-        self._do(self.keeper.retire(server))
+        self._do(self.manager.retire(server))
 
-    # --- What the keeper orders.
+    # --- What the manager orders.
 
     def _do(self, actions: list[Action]) -> None:
         """Danger: an action's own consequences come after those that were ordered before it, and do not pile up calls
@@ -163,7 +165,7 @@
                     connection = Connection(server, kind, dial, new_stream())
                 except PoolFull as bad:
                     log.info("backend server %s: %s", server, log_line(bad))
-                    return self._do(self.keeper.no_descriptor(self._wheel.now, server))
+                    return self._do(self.manager.no_descriptor(self._wheel.now, server))
                 self._opening.add(connection)
                 self._spawn(self._open(connection))
             case Close(connection):
@@ -176,12 +178,12 @@
     def _use(self, asked: Asked, connection: Connection) -> None:
         if asked.got.done():  # given up while the orders were carried out
             self._idle.add(connection)
-            self._do(self.keeper.unused(self._wheel.now, connection))
+            self._do(self.manager.unused(self._wheel.now, connection))
         elif not silent(connection.stream, connection.first):
             # Danger: the other side closed it, or spoke out of turn. A request written now would be reset, which an
             # unsafe one does not survive, or get a stray answer.
             connection.stream.close()
-            self._do(self.keeper.again(self._wheel.now, asked, connection))
+            self._do(self.manager.again(self._wheel.now, asked, connection))
         else:
             asked.got.set_result(connection)
 
@@ -199,10 +201,10 @@
             self._opening.discard(connection)
             if not up or self._closed:
                 connection.stream.close()
-                self._do(self.keeper.failed(self._wheel.now, connection.server, connection.dial))
+                self._do(self.manager.failed(self._wheel.now, connection.server, connection.dial))
         if up and not self._closed:
             self._idle.add(connection)
-            self._do(self.keeper.ready(self._wheel.now, connection, self._wheel.now - began))
+            self._do(self.manager.ready(self._wheel.now, connection, self._wheel.now - began))
 
     def _listen(self, connection: Connection) -> bool:
         """Begin the read by which the server's closing, or its talk out of turn, is seen."""
@@ -227,10 +229,10 @@
         if self._closed:
             return
         self._wheel.after(ROUND, self._round)
-        self._do(self.keeper.round(self._wheel.now, self._blocked))
+        self._do(self.manager.round(self._wheel.now, self._blocked))
         if self._file is not None and self._wheel.now - self._written_at >= self._file_s:
             self._written_at = self._wheel.now
-            self._file.write(view.rows(self.keeper, self._wheel.now))
+            self._file.write(view.rows(self.manager, self._wheel.now))
 
     def close(self) -> None:
         """Every connection is closed. Calls have ended before."""
@@ -238,4 +240,4 @@
         for connection in (*self._opening, *self._resting, *self._idle):
             connection.stream.close()
         if self._file is not None:
-            self._file.write(view.rows(self.keeper, self._wheel.now))
+            self._file.write(view.rows(self.manager, self._wheel.now))
--- a/linkdock/connections/keeper.py
+++ b/linkdock/connections/manager.py
@@ -16,14 +16,26 @@
 from .endpoint_table import EndpointTable
 from .orders import CAP_HOLD, REFUSALS, ROUND, Action, Close, Endpoint, Fail, Open, Ticket, Use
 
-__all__ = ["CAP_HOLD", "HOLD", "REFUSALS", "ROUND", "Action", "Close", "Fail", "Keeper", "Open", "Ticket", "Use"]
+__all__ = [
+    "CAP_HOLD",
+    "HOLD",
+    "REFUSALS",
+    "ROUND",
+    "Action",
+    "Close",
+    "ConnectionManager",
+    "Fail",
+    "Open",
+    "Ticket",
+    "Use",
+]
 
 FORGET = 60.0  # seconds without calls and connections after which nothing is kept of a server's demand
 MOST_WAITING = 4096  # calls that wait at once
 SLICE = 256  # servers that one round looks at
 
 
-class Keeper(EndpointTable):
+class ConnectionManager(EndpointTable):
     """The state machine of all that happens to connections; it carries nothing out.
 
     Seconds: `idle_for` as the server's idle-close allows, `connect_timeout` until a call without a connection fails,
--- a/linkdock/connections/orders.py
+++ b/linkdock/connections/orders.py
@@ -1,4 +1,4 @@
-"""What a keeper is asked and what it orders, and what is known of one server. No I/O, no clock.
+"""What the `ConnectionManager` is asked and what it orders, and what is known of one server. No I/O, no clock.
 
 A connection is any object with `server`, `kind`, `dial`, `age`, `idle_since` and `uses`; its owner reads and writes
 none of the last three. A ticket is one call's wish for a connection.
--- a/linkdock/connections/pool.py
+++ b/linkdock/connections/pool.py
@@ -32,7 +32,7 @@
     def __init__(self, server: str, kind: int, dial: tuple[str, int], stream: IOStream) -> None:
         """A connection over `stream` that has just been opened to `server` at the address `dial`."""
         self.server, self.kind, self.dial, self.stream = server, kind, dial, stream
-        self.idle_since, self.age, self.uses = 0.0, FRESH, 0  # the keeper's, where there is one
+        self.idle_since, self.age, self.uses = 0.0, FRESH, 0  # the manager's, where there is one
         self.timer: Timer | None = None
         self.first = None  # the read that waits for the next answer
         self.rested_at = 0.0  # on the wheel's clock: until then more may come behind the last answer
--- a/linkdock/connections/view.py
+++ b/linkdock/connections/view.py
@@ -11,13 +11,13 @@
 import msgspec
 
 from ..state import statefile
-from .keeper import Keeper
+from .manager import ConnectionManager
 
 log = logging.getLogger(__name__)
 
 MOST_ROWS = 512  # servers in the file, those with the most calls
 VERSION = 1
-# How connections end, in the keeper's words.
+# How connections end, in the manager's words.
 CAUSES = (
     "too old",
     "too likely dead",
@@ -68,9 +68,11 @@
     servers: list[Row]
 
 
-def rows(keeper: Keeper, now: float) -> State:
-    """The keeper's facts, those servers first that were called the most."""
-    ranked = sorted(keeper.endpoints.items(), key=lambda pair: -pair[1].counts["reused"] - pair[1].counts["used first"])
+def rows(manager: ConnectionManager, now: float) -> State:
+    """The manager's facts, those servers first that were called the most."""
+    ranked = sorted(
+        manager.endpoints.items(), key=lambda pair: -pair[1].counts["reused"] - pair[1].counts["used first"]
+    )
     told = []
     for server, e in ranked[:MOST_ROWS]:
         fast, _ = e.demand.rates(now)
@@ -81,7 +83,7 @@
                 idle=len(e.idle),
                 opening=e.opening,
                 waiting=len(e.waiting),
-                target=keeper.target(now, server, e),
+                target=manager.target(now, server, e),
                 cap=None if e.cap == float("inf") else int(e.cap),
                 opened=e.counts["opened"],
                 ahead=e.counts["ahead"],
@@ -94,15 +96,15 @@
                 call_s=round(e.demand.usual, 4),
                 calls_per_s=round(fast, 2),
                 slow=e.demand.slow(now),
-                idle_life_s=keeper.choice.life(server, e.kind),
+                idle_life_s=manager.choice.life(server, e.kind),
             )
         )
     return State(
         version=VERSION,
         unix=round(time.time(), 3),
         pid=os.getpid(),
-        up=len(keeper),
-        peak=keeper.peak,
+        up=len(manager),
+        peak=manager.peak,
         left_out=max(0, len(ranked) - MOST_ROWS),
         servers=told,
     )
--- a/linkdock/lab/connections.py
+++ b/linkdock/lab/connections.py
@@ -3,7 +3,7 @@
 
 Question: how many calls meet a connection that its server has silently dropped, and what does avoiding them cost in
 new connections and in delay? The same arrivals, servers and call times for each policy, on a virtual clock. The
-keeper's own machine is driven, not a copy of it.
+manager's own machine is driven, not a copy of it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 from ..connections import FRESH
 from ..connections.choice import Choice, ConnectionsSettings
-from ..connections.keeper import Keeper
+from ..connections.manager import ConnectionManager
 from ..connections.orders import ROUND, Action, Fail, Open, Ticket, Use
 from .idle import Positive, Seconds
 
@@ -205,7 +205,7 @@
             self._policy = Plain(policy == "today")
         else:
             choice = Oracle(plan.settings, self._servers) if policy == "oracle" else Choice(plan.settings)
-            self._policy = Keeper(plan.settings, choice, plan.most, TOLD - MARGIN, CONNECT_TIMEOUT)
+            self._policy = ConnectionManager(plan.settings, choice, plan.most, TOLD - MARGIN, CONNECT_TIMEOUT)
         self._surge, self._slow = plan.seconds / 2, plan.seconds * 3 / 4
         self._events: list[tuple[float, int, Callable, tuple]] = []
         self._order, self.now = count(), 0.0
--- a/tests/handshakes.py
+++ b/tests/handshakes.py
@@ -1,8 +1,8 @@
-"""What the keeper's tests share: a wire on a clock of its own that carries out what the keeper orders."""
+"""What the manager's tests share: a wire on a clock of its own that carries out what the manager orders."""
 
 from linkdock.connections import FRESH
 from linkdock.connections.choice import Choice, ConnectionsSettings
-from linkdock.connections.keeper import ROUND, Close, Fail, Keeper, Open, Ticket, Use
+from linkdock.connections.manager import ROUND, Close, ConnectionManager, Fail, Open, Ticket, Use
 
 
 class Line:
@@ -12,17 +12,17 @@
 
 
 class Wire:
-    """Carries out what the keeper orders: handshakes take `handshake`, calls are ended by the test."""
+    """Carries out what the manager orders: handshakes take `handshake`, calls are ended by the test."""
 
     def __init__(self, most=100, idle_for=4.25, cold_share=1.0, cold_time=0.0, handshake=0.1, **settings):
         told = ConnectionsSettings(on=True, **settings)
-        self.keeper = Keeper(told, Choice(told), most, idle_for, 1.5, cold_share, cold_time)
+        self.manager = ConnectionManager(told, Choice(told), most, idle_for, 1.5, cold_share, cold_time)
         self.now, self.handshake, self.opening = 0.0, handshake, []
         self.used, self.failed, self.opened, self.blocked, self.refusing = [], [], 0, {}, set()
 
     def ask(self, server="s", careful=False, dial=("h", 1)):
         ticket = Ticket(server, 0, dial, careful)
-        self.do(self.keeper.ask(self.now, ticket))
+        self.do(self.manager.ask(self.now, ticket))
         return ticket
 
     def do(self, actions):
@@ -49,11 +49,11 @@
             )
             for _, line in due:
                 if line.server in self.refusing:
-                    self.do(self.keeper.failed(self.now, line.server, line.dial))
+                    self.do(self.manager.failed(self.now, line.server, line.dial))
                 else:
-                    self.do(self.keeper.ready(self.now, line, self.handshake))
+                    self.do(self.manager.ready(self.now, line, self.handshake))
             if round(self.now / ROUND * 4) % 4 == 0:
-                self.do(self.keeper.round(self.now, self.blocked.get))
+                self.do(self.manager.round(self.now, self.blocked.get))
 
     def given(self, ticket):
         return next((u.connection for u in self.used if u.ticket is ticket), None)
@@ -65,12 +65,12 @@
         return self.given(ticket)
 
     def done(self, line, seconds=0.2):
-        self.keeper.answered(self.now, line, seconds)
-        self.do(self.keeper.give_back(self.now, line))
+        self.manager.answered(self.now, line, seconds)
+        self.do(self.manager.give_back(self.now, line))
 
     def broke(self, line):
-        self.keeper.reset(self.now, line)
-        self.do(self.keeper.ended(self.now, line))
+        self.manager.reset(self.now, line)
+        self.do(self.manager.ended(self.now, line))
 
     def call(self, gap, life=9.9, careful=False, took=0.2):
         """One call after a pause, against a server that drops what is idle for longer: whether it was stale."""
--- a/tests/test_keeper.py
+++ b/tests/test_connection_manager.py
@@ -1,11 +1,11 @@
-"""The keeper of connections, event by event on a clock of its own: each hard case that it exists for."""
+"""The manager of connections, event by event on a clock of its own: each hard case that it exists for."""
 
 import random
 
 from handshakes import Wire, surge
 
 from linkdock.connections import demand
-from linkdock.connections.keeper import CAP_HOLD, HOLD, REFUSALS
+from linkdock.connections.manager import CAP_HOLD, HOLD, REFUSALS
 
 
 def test_a_connection_that_comes_free_first_serves_the_call_and_the_new_one_waits():
@@ -70,8 +70,8 @@
 def test_an_order_takes_the_connection_most_surely_alive_and_a_preview_the_older_one():
     wire = Wire(ahead=0, careful=0.04, bold=0.3)
     for n in range(200):
-        wire.keeper.choice.used(0.0, "s", 0, 2.5, n % 6 != 0, 1)
-        wire.keeper.choice.used(0.0, "s", 0, 0.3, True, 1)
+        wire.manager.choice.used(0.0, "s", 0, 2.5, n % 6 != 0, 1)
+        wire.manager.choice.used(0.0, "s", 0, 0.3, True, 1)
     wire.call(0.0)
     wire.to(wire.now + 2.5)
     order, preview = wire.ask(careful=True), wire.ask()
@@ -101,16 +101,16 @@
         for end, old in [x for x in lines if x[0] <= wire.now and wire.given(x[1])]:
             lines.remove((end, old))
             wire.done(wire.given(old), 0.5)
-    endpoint = wire.keeper.endpoints["s"]
+    endpoint = wire.manager.endpoints["s"]
     assert 1 <= endpoint.counts["ahead"] <= 10.0 * 3.2
     before = endpoint.counts["ahead"]
     for _, ticket in lines:
         wire.done(wire.given(ticket), 0.5)
     wire.to(wire.now + 60)
-    assert endpoint.counts["ahead"] <= before + 10.0 * HOLD and len(wire.keeper) == 0
+    assert endpoint.counts["ahead"] <= before + 10.0 * HOLD and len(wire.manager) == 0
     opened = wire.opened
     wire.to(wire.now + 60)
-    assert wire.opened == opened and not wire.keeper.endpoints
+    assert wire.opened == opened and not wire.manager.endpoints
 
 
 def test_calls_that_all_take_longer_are_told_from_more_calls():
@@ -141,7 +141,7 @@
     for _ in range(15):
         wire.call(0.05, took=0.6)
     busy = wire.ask()
-    assert wire.given(busy) and wire.keeper.endpoints["s"].demand.slow(wire.now)
+    assert wire.given(busy) and wire.manager.endpoints["s"].demand.slow(wire.now)
     opened, waiting = wire.opened, wire.ask()
     wire.to(wire.now + 0.05)
     assert wire.opened == opened
@@ -160,22 +160,22 @@
     wire.refusing.add("s")
     waiting = wire.ask("s")
     wire.to(wire.now + 0.4)
-    assert wire.keeper.endpoints["s"].cap == 1 and not wire.failed
+    assert wire.manager.endpoints["s"].cap == 1 and not wire.failed
     opened = wire.opened
     more = [wire.ask("s") for _ in range(3)]
     wire.to(wire.now + 1.0)
     assert wire.opened - opened <= 2  # it is tried, and not again and again
     wire.done(held)
-    assert wire.given(waiting) is held and len(wire.keeper.endpoints["other"].idle) == 1
+    assert wire.given(waiting) is held and len(wire.manager.endpoints["other"].idle) == 1
     wire.to(wire.now + 1.6)
     assert [f.full for f in wire.failed] == [True] * 3 and {id(f.ticket) for f in wire.failed} == set(map(id, more))
     wire.refusing.clear()
     wire.to(wire.now + 10)
-    assert wire.keeper.endpoints["s"].cap > 1
+    assert wire.manager.endpoints["s"].cap > 1
     for _ in range(12):
         wire.ask("s")
     wire.to(wire.now + 20)
-    assert wire.keeper.endpoints["s"].cap > 10  # and found again in time
+    assert wire.manager.endpoints["s"].cap > 10  # and found again in time
 
 
 def test_one_connect_that_fails_by_chance_is_no_cap():
@@ -187,7 +187,7 @@
     wire.to(0.35)
     wire.refusing.clear()
     wire.to(0.5)
-    assert wire.given(first) and wire.given(second) and wire.keeper.endpoints["s"].cap == float("inf")
+    assert wire.given(first) and wire.given(second) and wire.manager.endpoints["s"].cap == float("inf")
 
 
 def test_one_that_answers_at_once_again_and_again_that_it_is_full_is_given_no_more_connections():
@@ -196,7 +196,7 @@
         wire.call(0.05)
     first = wire.ask()
     for _ in range(REFUSALS):
-        wire.keeper.told_full(wire.now, wire.given(first), 0.01)
+        wire.manager.told_full(wire.now, wire.given(first), 0.01)
     second, opened = wire.ask(), wire.opened
     wire.to(wire.now + CAP_HOLD / 2)
     assert wire.opened == opened and wire.given(second) is None
@@ -213,4 +213,4 @@
     assert [f.full for f in wire.failed] == [False] * 3
     opened = wire.opened
     wire.to(5.0)
-    assert wire.opened == opened and len(wire.keeper) == 0  # none is opened ahead of need toward it
+    assert wire.opened == opened and len(wire.manager) == 0  # none is opened ahead of need toward it
--- a/tests/test_keeper_bounds.py
+++ b/tests/test_connection_manager_bounds.py
@@ -1,4 +1,4 @@
-"""The keeper of connections under its bounds: descriptors, shares, those away, restarts, any order of events."""
+"""The manager of connections under its bounds: descriptors, shares, those away, restarts, any order of events."""
 
 import random
 
@@ -6,23 +6,23 @@
 from handshakes import Wire
 
 from linkdock.connections import demand
-from linkdock.connections.keeper import ROUND
+from linkdock.connections.manager import ROUND
 
 
 def test_with_descriptors_at_their_limit_a_surge_leaves_the_others_their_fair_part():
     wire = Wire(most=10, ahead=0, handshakes=10)
     large = [wire.ask("large") for _ in range(40)]
     wire.to(0.2)
-    assert len(wire.used) == 10 and len(wire.keeper) == 10
+    assert len(wire.used) == 10 and len(wire.manager) == 10
     small = wire.ask("small")
     wire.to(0.3)
     assert wire.given(small) is None
     for use in list(wire.used)[:2]:
         wire.done(use.connection)
     wire.to(0.5)
-    assert wire.given(small) and len(wire.keeper) == 10
+    assert wire.given(small) and len(wire.manager) == 10
     assert sum(wire.given(t) is not None for t in large) >= 11
-    assert wire.keeper.peak == 10
+    assert wire.manager.peak == 10
 
 
 def test_room_is_made_by_the_server_with_the_most_beyond_its_target():
@@ -32,7 +32,7 @@
     for ticket in tickets:
         wire.done(wire.given(ticket))
     wire.ask("new")
-    assert len(wire.keeper.endpoints["rich"].idle) == 4 and len(wire.keeper.endpoints["poor"].idle) == 1
+    assert len(wire.manager.endpoints["rich"].idle) == 4 and len(wire.manager.endpoints["poor"].idle) == 1
 
 
 def test_max_min_shares_give_the_modest_what_they_need_and_never_more_than_there_is():
@@ -62,10 +62,10 @@
 def test_nothing_is_opened_toward_one_that_drains_is_gone_or_asked_to_wait(why):
     wire = Wire(ahead=30.0, handshakes=8)
     busy_server(wire)
-    endpoint = wire.keeper.endpoints["s"]
+    endpoint = wire.manager.endpoints["s"]
     assert endpoint.counts["ahead"] > 0  # else the story shows nothing
     wire.blocked["s"] = why
-    wire.do(wire.keeper.retire("s"))
+    wire.do(wire.manager.retire("s"))
     ahead = endpoint.counts["ahead"]
     wire.to(wire.now + 2.0)
     assert endpoint.counts["ahead"] == ahead
@@ -79,15 +79,15 @@
         wire = Wire(ahead=30.0, handshakes=8, cold_share=0.25, cold_time=cold_time)
         busy_server(wire)
         wire.blocked["s"] = "is draining"
-        wire.do(wire.keeper.retire("s"))
+        wire.do(wire.manager.retire("s"))
         wire.to(wire.now + 0.5)
         del wire.blocked["s"]
-        target, opened = wire.keeper.endpoints["s"].demand.target(wire.now, 4.25, 0.97), wire.opened
+        target, opened = wire.manager.endpoints["s"].demand.target(wire.now, 4.25, 0.97), wire.opened
         wire.to(wire.now + 1.0)
         return (
             target,
             wire.opened - opened,
-            max(wire.keeper._handshakes(wire.now, e) for e in wire.keeper.endpoints.values()),
+            max(wire.manager._handshakes(wire.now, e) for e in wire.manager.endpoints.values()),
         )
 
     target, cold, handshakes = after_return(100.0)
@@ -99,14 +99,14 @@
     wire = Wire(ahead=0)
     for _ in range(40):
         wire.call(2.0, life=1.0)
-    assert wire.keeper.choice.life("s", 0) is not None
+    assert wire.manager.choice.life("s", 0) is not None
     old = wire.ask()
     wire.to(wire.now + 0.2)
     moved = wire.ask(dial=("h", 2))
     wire.to(wire.now + 0.2)
     assert wire.given(moved).dial == ("h", 2)
     wire.done(wire.given(old))
-    assert wire.given(old).closed and wire.keeper.endpoints["s"].up == 1
+    assert wire.given(old).closed and wire.manager.endpoints["s"].up == 1
 
 
 def test_one_that_came_up_after_its_id_had_moved_is_closed():
@@ -130,13 +130,13 @@
         for end, line in [r for r in running if r[0] <= wire.now]:
             running.remove((end, line))
             wire.done(line, 0.1)
-    assert not wire.failed and served == set(tickets) and wire.keeper.peak <= 40
+    assert not wire.failed and served == set(tickets) and wire.manager.peak <= 40
 
 
 def test_a_call_that_is_given_up_leaves_its_connection_to_the_next():
     wire = Wire(ahead=0)
     ticket = wire.ask()
-    wire.keeper.give_up(0.0, ticket)
+    wire.manager.give_up(0.0, ticket)
     wire.to(0.2)
     assert not wire.used and wire.given(wire.ask()).uses == 0 and wire.opened == 1
 
@@ -147,9 +147,9 @@
     ticket = wire.ask()
     dead = wire.given(ticket)
     wire.used.clear()
-    wire.do(wire.keeper.again(wire.now, ticket, dead))
+    wire.do(wire.manager.again(wire.now, ticket, dead))
     wire.to(wire.now + 0.2)
-    assert wire.given(ticket) is not dead and wire.keeper.endpoints["s"].counts["found dead"] == 1
+    assert wire.given(ticket) is not dead and wire.manager.endpoints["s"].counts["found dead"] == 1
 
 
 def test_whatever_happens_connections_are_counted_right_and_bounded():
@@ -165,9 +165,9 @@
                 case 3:
                     wire.refusing.symmetric_difference_update({f"s{luck.randrange(5)}"})
                 case 4 if tickets:
-                    wire.keeper.give_up(wire.now, luck.choice(tickets))
+                    wire.manager.give_up(wire.now, luck.choice(tickets))
                 case 5:
-                    wire.do(wire.keeper.retire(f"s{luck.randrange(5)}"))
+                    wire.do(wire.manager.retire(f"s{luck.randrange(5)}"))
             lines += [u.connection for u in wire.used]
             wire.used.clear()
             for line in list(lines):
@@ -175,9 +175,9 @@
                     lines.remove(line)
                     luck.choice([wire.done, wire.done, wire.broke])(line)
             wire.to(wire.now + luck.random() * 0.2)
-            ends = wire.keeper.endpoints.values()
-            assert len(wire.keeper) == sum(e.held for e in ends) <= 8
-            assert wire.keeper._waiting == sum(len(e.waiting) for e in ends)
+            ends = wire.manager.endpoints.values()
+            assert len(wire.manager) == sum(e.held for e in ends) <= 8
+            assert wire.manager._waiting == sum(len(e.waiting) for e in ends)
             lines += [u.connection for u in wire.used]
             wire.used.clear()
             assert len(lines) == sum(e.busy for e in ends)
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -175,7 +175,7 @@
         "records",
         "undeliverable",
         "connections.choice",
-        "connections.keeper",
+        "connections.manager",
         "connections.kept",
         "connections.endpoint_table",
     )
