--- a/linkdock/connections/stock.py
+++ b/linkdock/connections/endpoint_table.py
@@ -1,6 +1,7 @@
 """What is held: connections that lie idle, are used or opened, the calls that wait, and the room for more. No I/O.
 
-Events come in by the `Keeper`, which is built on this; here each connection is counted once and given up in one place.
+Events come in by the `ConnectionManager`, which is built on this; here each connection is counted once and given up in
+one place.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 FRESH_FOR = 0.05  # seconds in which one that was never used counts as new
 
 
-class Stock:
+class EndpointTable:
     """The connections of all servers. `most` bounds them, those being opened among them."""
 
     def __init__(
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -23,9 +23,9 @@
 from ..protocol.notices import Notices
 from ..sender.context import SenderContext
 from ..sender.sender import Sender
-from ..state.asking import Asking
 from ..state.journal import Journal
 from ..state.table import ServerTable
+from ..state.watch_schedule import WatchSchedule
 from ..state.wheel import Wheel
 from . import switched
 from .config import Config, ConfigError, load, reload
@@ -102,7 +102,7 @@
         self._notices = context.notices = Notices(
             config.discovery, self._wheel, self._wheel.pause, self.sender.confirmed
         )
-        asking = Asking(
+        schedule = WatchSchedule(
             config.paid_news,
             settings.relays,
             settings.ask_within,
@@ -113,7 +113,7 @@
         self._watch = Watch(
             config.discovery,
             self._wheel,
-            asking,
+            schedule,
             config.zones,
             config.kinds,
             lambda: table.version,
@@ -296,7 +296,7 @@
         log.info("stopping")
         self._leave_fleet()
         if self._operations is not None:
-            self._operations.duty.stop()
+            self._operations.serving_mode.stop()
         if self._observer is not None:
             self._observer.stopping()
         self.sender.stop_unsafe(self._loop.time() + NO_UNSAFE_AFTER)
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -175,9 +175,9 @@
         "records",
         "undeliverable",
         "connections.choice",
-        "connections.keeper",
+        "connections.manager",
         "connections.kept",
-        "connections.stock",
+        "connections.endpoint_table",
     )
     code = f"import sys, linkdock.service.run; print([n for n in {off!r} if 'linkdock.' + n in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT.parent, timeout=30)
