--- a/linkdock/lab/order_search.py
+++ b/linkdock/lab/order_search.py
@@ -22,11 +22,12 @@
 import sys
 import time
 from contextlib import nullcontext
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from pathlib import Path
 from random import Random
 
 from .order_search_faults import FAULTS
+from .order_search_finish import finish
 from .order_search_plans import PLANS, Bounds
 from .order_search_program import VirtualLoop, installed
 from .order_search_referee import Broken, Check
@@ -152,7 +153,7 @@
                 world.apply(event)
             key, enabled = shape(world), list(world.enabled())
             if self._finish_every and key[0] % self._finish_every == 0:
-                world.finish()
+                finish(world)
         except Broken as broken:
             self._note(Counterexample(broken, events))
             return b"", []
@@ -177,7 +178,7 @@
                     events.append(random.choice(enabled))
                     world.apply(events[-1])
                     self._found.edges += 1
-                world.finish()
+                finish(world)
             except Broken as broken:
                 if (broken.check, broken.kind) not in self._found.counterexamples:
                     self._note(self._shortened(Counterexample(broken, tuple(events))))
@@ -202,7 +203,7 @@
                 if event not in world.enabled():
                     return None
                 world.apply(event)
-            world.finish()
+            finish(world)
         except Broken as broken:
             return broken
         finally:
@@ -228,16 +229,18 @@
     parser.add_argument("--ignore", choices=[check.name for check in Check], action="append", default=[])
     parser.add_argument("--walks", type=int, default=0, help="so many schedules by chance")
     parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--prompt", action="store_true", help="the others look at once where a process starts")
     parser.add_argument("--replay", metavar="EVENTS")
     args = parser.parse_args(argv)
     ignored, broken = frozenset(Check[name] for name in args.ignore), False
     for name in args.plan or PLANS:
-        search = Search(PLANS[name], args.states, args.seconds, args.fault, args.all, ignored)
+        bounds = replace(PLANS[name], prompt=args.prompt)
+        search = Search(bounds, args.states, args.seconds, args.fault, args.all, ignored)
         if args.replay is not None:
             found = search.replay(tuple(event.strip() for event in args.replay.split(";")))
         else:
             found = search.walk(args.walks, args.seed) if args.walks else search.run()
-        _report(name, PLANS[name], found, args.walks)
+        _report(name, bounds, found, args.walks)
         broken = broken or bool(found.counterexamples)
     return 1 if broken else 0
 
--- a/linkdock/lab/order_search_plans.py
+++ b/linkdock/lab/order_search_plans.py
@@ -19,11 +19,14 @@
     late: int = 0
     rests: int = 0
     looks: int = 0
+    prompt: bool = False  # whether the others look at once where a process starts, and not up to 50 ms later
     leaves: int = 0
 
 
 PAIR = (("A1", "a", 4.0), ("A2", "a", 16.0))
-ONE, TWO = ("start",), ("start", "start")
+TWO = ("start", "start")
+MET = (*TWO, "look 1")  # the older process has seen that the younger has come
+WAITING = ("take A1@1", "beat 1", "take A2@1", "beat 1")  # A2 waits behind A1, whose connection comes up
 PLANS: dict[str, Bounds] = {
     "one": Bounds(),
     "late": Bounds(failures=0, late=2, rests=1),
@@ -37,6 +40,9 @@
     "upgrade-late": Bounds(begin=TWO, starts=2, terms=1, failures=0, late=1, rests=1, looks=1),
     "three": Bounds(begin=TWO, starts=3, kills=2, terms=1, looks=2),
     "pair": Bounds(messages=PAIR),
+    "pair-late": Bounds(messages=PAIR, failures=0, late=1),
     "pair-restart": Bounds(messages=PAIR, starts=2, kills=1),
-    "pair-upgrade": Bounds(messages=PAIR, begin=TWO, starts=2, kills=1, looks=1),
+    "pair-hand-over": Bounds(messages=PAIR, begin=(*MET, *WAITING), starts=2, terms=1, failures=0, looks=1),
+    "pair-unmet": Bounds(messages=PAIR, begin=TWO, starts=2, failures=0),
+    "pair-upgrade": Bounds(messages=PAIR, begin=MET, starts=2, kills=1, looks=1),
 }
--- a/linkdock/lab/order_search_shape.py
+++ b/linkdock/lab/order_search_shape.py
@@ -21,7 +21,7 @@
 from ..interface import HostEntry, Settings
 from ..protocol.http import AnswerParser
 from ..service.config import Config
-from ..state.board import Board
+from ..state.board import Figures
 from ..state.journal import Kept, owed
 from ..state.roster import Roster
 from ..state.wheel import Timer, Wheel
@@ -38,14 +38,16 @@
     Roster,
     AnswerParser,
     Connection,
-    Board,
     asyncio.AbstractEventLoop,
     asyncio.Future,
     asyncio.TimerHandle,
 )
+SOON = 0.02  # seconds: what is due this soon counts as due
 COUNTS = frozenset(
     {
         "_file",
+        "_due",
+        "_blind_until",
         "_lock",
         "_size",
         "_live",
@@ -54,6 +56,7 @@
         "_hold",
         "_batches",
         "_inode",
+        "_latest",
         "timer",
         "lot",
         "_last",
@@ -79,7 +82,7 @@
         if value is None or kind in (bool, int, str, bytes):
             return value
         if kind is float:
-            return value if value in (inf, -inf) or isnan(value) else value > self._now
+            return value if value in (inf, -inf) or isnan(value) else value > self._now + SOON
         if isinstance(value, Enum):
             return value.name
         if kind in (list, tuple, deque):
@@ -105,6 +108,10 @@
             return tuple(sorted(getattr(call, "__qualname__", "") for call in timers))
         if isinstance(value, Timer | ScriptedStream):
             return kind.__name__
+        if hasattr(value, "_offset") and hasattr(value, "path"):  # a reader of another journal: what it has read
+            return kind.__name__, self.of(value.open), _size(value.path) > value._offset
+        if kind is Figures:
+            return value.state  # the counts bound slots and room, which are never short here
         if isinstance(value, tuple):
             return kind.__name__, *map(self.of, value)
         if not kind.__module__.startswith("linkdock."):
@@ -118,10 +125,22 @@
     return slots + list(getattr(value, "__dict__", {}).items())
 
 
+def _size(path: Path) -> int:
+    return path.stat().st_size if path.exists() else 0
+
+
 def _kept(kept: Kept) -> tuple:
     return kept.id, kept.used, kept.tries, tuple(sorted(kept.doubt)), str(kept.notice)
 
 
+def _stamped(folder: Path) -> list[str]:
+    """The messages of all journals in the order in which they say that they were taken."""
+    found = [
+        (getattr(kept, "taken_at", 0.0), kept.id) for path in folder.glob("journal*") for kept in owed(path).values()
+    ]
+    return [name for _, name in sorted(set(found))]
+
+
 def _files(folder: Path) -> list[tuple]:
     return [
         (path.name, tuple(map(_kept, owed(path).values())))
@@ -140,5 +159,15 @@
     handed_in = [(key, [m.id for m in queue]) for key, queue in world.referee.handed_in.items()]
     streams = [(s.messages, s.process, s.state.name) for s in world.streams if s.state.name != "ENDED"]
     programs = [(p.number, p.stopping, walk(p.process)) if p.alive else p.number for p in world.programs]
-    told = repr((messages, handed_in, streams, programs, _files(world.folder), sorted(world.used.items())))
+    told = repr(
+        (
+            messages,
+            handed_in,
+            streams,
+            programs,
+            _files(world.folder),
+            _stamped(world.folder),
+            sorted(world.used.items()),
+        )
+    )
     return hashlib.blake2b(told.encode(), digest_size=16).digest()
--- a/linkdock/lab/order_search_world.py
+++ b/linkdock/lab/order_search_world.py
@@ -33,7 +33,7 @@
 REST = 0.1  # seconds of a rest
 CLOSE_SEEN = 0.1  # seconds after which a server has surely seen the close of a call that was given up
 EARLY = 0.045  # seconds before the end of a message's time to which `late` goes: calls are given up 0.05 before
-MOST_ROUNDS = 60  # of the fair schedule by which a world comes to its end
+COUNTED = ("kill", "term", "failure", "late", "rest", "look", "leave")  # what bounds count, beyond how a case begins
 ANSWERS = {"ok": 200, "error": 500, "busy": 503}
 
 
@@ -50,7 +50,8 @@
         self.referee = Referee(self.messages, ignored)
         self.programs: list[Program] = []
         self.streams: list[ScriptedStream] = []
-        self.used = dict.fromkeys(("kill", "term", "failure", "late", "rest", "look", "leave"), 0)
+        self.used = dict.fromkeys(COUNTED, 0)
+        self._events = 0
         self._broken: Broken | None = None
 
     def close(self) -> None:
@@ -171,6 +172,9 @@
         self._after()
 
     def _after(self) -> None:
+        self._events += 1
+        if self._events == len(self.bounds.begin):
+            self.used = dict.fromkeys(COUNTED, 0)
         for program in self.living():
             if program.has_ended():
                 self._gone(program)
@@ -186,6 +190,9 @@
 
     def _start(self) -> None:
         self.programs.append(Program(self.loop, self.folder, len(self.programs) + 1, self.bounds.shared))
+        if self.bounds.prompt:
+            for program in self.living()[:-1]:
+                program.look()
 
     def _take(self, message: Message, program: Program) -> None:
         self.referee.hand_in(message, program.number, self.loop.now)
@@ -249,13 +256,14 @@
 
     def _rest(self) -> None:
         self.used["rest"] += 1
-        self._all_beat(REST)
+        self.all_beat(REST)
 
     def _late(self, message: Message) -> None:
         self.used["late"] += 1
-        self._all_beat(message.until - EARLY - self.loop.now)
+        self.all_beat(message.until - EARLY - self.loop.now)
 
-    def _all_beat(self, seconds: float) -> None:
+    def all_beat(self, seconds: float) -> None:
+        """So much time goes by, and then every process runs its timers and a pass."""
         self._pass(seconds)
         for program in self.living():
             program.beat()
@@ -267,29 +275,3 @@
         for stream in self.streams:
             if stream.state is StreamState.CLOSING and self.loop.now >= stream.closing_since + CLOSE_SEEN:
                 stream.server_closed()
-
-    # --- The end.
-
-    def finish(self) -> None:
-        """A fair schedule until all is over: nothing fails any more, and somebody lives. Raises Broken."""
-        for n in range(MOST_ROUNDS):
-            if not self.living():
-                self.apply("start")
-            for event in list(self.enabled()):
-                if event.split()[0] in ("go", "ok", "confirm") and event in self.enabled():
-                    self.apply(event)
-            for program in self.living():
-                if program.alive:
-                    self._beat(program)
-                    self._after()
-            if n % 4 == 3:
-                self.apply("rest")
-            if all(message.over or message.heard is Heard.NOT_HANDED_IN for message in self.messages):
-                return
-        self._all_beat(30.0)
-        for _ in range(MOST_ROUNDS // 2):
-            for event in list(self.enabled()):
-                if event.startswith("confirm") and event in self.enabled():
-                    self.apply(event)
-            self.apply("rest")
-        self.referee.all_ended()
