--- a/linkdock/lab/order_search_faults.py
+++ b/linkdock/lab/order_search_faults.py
@@ -47,7 +47,7 @@
 
 def _passes_on_at_its_end(end: Callable) -> Callable:
     def ended(self: Dispatch, message: Any) -> None:
-        self.unsettled.pop(message.id, None)
+        getattr(self, "unsettled", {}).pop(message.id, None)
         end(self, message)
 
     return ended
@@ -56,8 +56,9 @@
 def _taken_up_as_new(take_up: Callable) -> Callable:
     def taken(self: Lives, left: Iterable[Kept]) -> None:
         left = list(left)
-        for kept in left:
-            kept.taken_at = self._b.journal.stamp()
+        if hasattr(Journal, "stamp"):
+            for kept in left:
+                kept.taken_at = self._b.journal.stamp()
         take_up(self, left)
 
     return taken
--- a/linkdock/lab/order_search_plans.py
+++ b/linkdock/lab/order_search_plans.py
@@ -39,6 +39,7 @@
     "upgrade-kill": Bounds(begin=TWO, starts=2, kills=1, looks=1),
     "upgrade-late": Bounds(begin=TWO, starts=2, terms=1, failures=0, late=1, rests=1, looks=1),
     "three": Bounds(begin=TWO, starts=3, kills=2, terms=1, looks=2),
+    "all": Bounds(begin=TWO, starts=4, kills=2, terms=2, failures=2, late=1, rests=3, looks=3, leaves=1),
     "pair": Bounds(messages=PAIR),
     "pair-late": Bounds(messages=PAIR, failures=0, late=1),
     "pair-restart": Bounds(messages=PAIR, starts=2, kills=1),
