--- a/linkdock/lab/order_search_faults.py
+++ b/linkdock/lab/order_search_faults.py
@@ -13,10 +13,9 @@
 from typing import Any
 
 from ..decisions.dispatch import Dispatch
-from ..sender.desk import Sender
 from ..sender.ends import Ends
-from ..sender.lives import Lives
 from ..state.journal import Journal, Kept
+from .order_search_program import Recovery, Sender, journal_of
 from .order_search_referee import Check
 
 Patch = tuple[type, str, Callable[[Any], Any]]  # where, which method, and what it becomes
@@ -54,25 +53,25 @@
 
 
 def _taken_up_as_new(take_up: Callable) -> Callable:
-    def taken(self: Lives, left: Iterable[Kept]) -> None:
+    def taken(self: Recovery, left: Iterable[Kept]) -> None:
         left = list(left)
         if hasattr(Journal, "stamp"):
             for kept in left:
-                kept.taken_at = self._b.journal.stamp()
+                kept.taken_at = journal_of(self).stamp()
         take_up(self, left)
 
     return taken
 
 
 def _taken_up_by_id(take_up: Callable) -> Callable:
-    def taken(self: Lives, left: Iterable[Kept]) -> None:
+    def taken(self: Recovery, left: Iterable[Kept]) -> None:
         _taken_up_as_new(take_up)(self, sorted(left, key=lambda kept: kept.id, reverse=True))
 
     return taken
 
 
 def _handed_over_and_kept(hand_over: Callable) -> Callable:
-    def handed(self: Lives, busy: Callable[[str], bool], give: Callable[[list[str]], bool]) -> None:
+    def handed(self: Recovery, busy: Callable[[str], bool], give: Callable[[list[str]], bool]) -> None:
         hand_over(self, busy, lambda requests: give(requests) and False)
 
     return handed
@@ -115,7 +114,7 @@
         "what a dead process left queues behind what the survivor has taken itself",
         "pair-upgrade",
         Check.NOT_OVER,
-        ((Lives, "take_up", _taken_up_as_new),),
+        ((Recovery, "take_up", _taken_up_as_new),),
     ),
     "sibling-ignored": Fault(
         "a process takes no heed of what the other one holds",
@@ -127,7 +126,7 @@
         "a restart takes up what is on record by its ids",
         "pair-restart",
         Check.NOT_OVER,
-        ((Lives, "take_up", _taken_up_by_id),),
+        ((Recovery, "take_up", _taken_up_by_id),),
     ),
     "time-out-frees-the-key": Fault(
         "the key is free when a call is given up, though its server has not met the close",
@@ -145,7 +144,7 @@
         "what is handed over stays with the process that gave it",
         "pair-hand-over",
         Check.TWO_OUT,
-        ((Lives, "hand_over", _handed_over_and_kept), (Journal, "hand_over", _moved_and_kept)),
+        ((Recovery, "hand_over", _handed_over_and_kept), (Journal, "hand_over", _moved_and_kept)),
     ),
     "taken-without-record": Fault(
         "a client hears +OK for a message that is not on record",
--- a/linkdock/lab/order_search_program.py
+++ b/linkdock/lab/order_search_program.py
@@ -24,10 +24,15 @@
 from ..protocol.calls import Call
 from ..service import run, switched
 from ..service.config import Config, check
+from ..state.journal import Journal
 from ..state.requests import Answer, Request, Taken
 from .order_search_stand_ins import Front, NoWatch, ScriptedNotices, VirtualLoop
 from .order_search_streams import MESSAGES, PROCESS, Observer, ScriptedStream
 
+Sender = run.Sender
+# The owner of what an earlier process left, under its name before and after the renaming of the sender's modules.
+Recovery = getattr(sys.modules[Sender.__module__], "Recovery", None) or sys.modules[Sender.__module__].Lives
+
 CLASS = "billing"
 DESTINATION = 1
 SERVERS = ("s1", "s2")
@@ -125,6 +130,11 @@
         logging.disable(logged)
 
 
+def journal_of(recovery: Recovery) -> Journal:
+    """The journal that what was left is taken up into."""
+    return (vars(recovery).get("_context") or recovery._b).journal
+
+
 class Program:
     """One process of the sender. `shared`: it may have a sibling on the same folder."""
 
