--- a/linkdock/lab/order_search_program.py
+++ b/linkdock/lab/order_search_program.py
@@ -139,6 +139,7 @@
     """One process of the sender. `shared`: it may have a sibling on the same folder."""
 
     def __init__(self, loop: VirtualLoop, folder: Path, number: int, shared: bool) -> None:
+        """Start process `number` on the state folder."""
         self._loop, self.number = loop, number
         self._context = copy_context()
         self._context.run(PROCESS.set, number)
@@ -165,6 +166,7 @@
     # --- Events.
 
     def accepts(self) -> bool:
+        """Whether it takes new clients."""
         return self.process.frontend.accepts
 
     def ask(self, name: str, key: str, left: float, answer: Callable[[Answer], bool]) -> None:
@@ -185,6 +187,7 @@
         return isinstance(said, Taken)
 
     def beat(self) -> None:
+        """One tick of the process: its timers, then a decision pass."""
         self._run(self.process._beat)
 
     def look(self) -> None:
@@ -211,6 +214,7 @@
         return self.process._notices.owed
 
     def confirm(self, name: str) -> str:
+        """The platform answers 204 to the notice about one message; the status that it heard."""
         statuses: list[str] = []
         self._run(lambda: statuses.append(self.process._notices.confirm(name)))
         return statuses[0]
