--- a/linkdock/assignment/placement.py
+++ b/linkdock/assignment/placement.py
@@ -17,7 +17,7 @@
 from .membership import Membership, Zone
 
 PRIMARY = 0  # the role of a shard's first replica; the others follow in order
-SCAN_SLICE = 1024  # shards between two pauses of a scan: some milliseconds
+SCAN_SLICE = 256  # shards between two pauses of a scan: some milliseconds
 _SCALE = 1 / (1 << 64)
 
 
--- /dev/null
+++ b/linkdock/lab/virtual_assignment_faults.py
@@ -0,0 +1,407 @@
+"""Faults planted into the assignment, one at a time, to show that a check finds each. Never imported by a sender.
+
+`python -m linkdock.lab.virtual_assignment_faults` plants all of them and prints which check found each, and where;
+`--fault NAME` plants one. Without a fault every check passes (`--fault none`).
+"""
+
+from __future__ import annotations
+
+import argparse
+import sys
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, contextmanager
+from dataclasses import dataclass, replace
+from random import Random
+from unittest import mock
+
+from ..assignment import membership, messages, moves, placement, rows, turns
+from ..assignment.errors import AssignmentError
+from ..assignment.hashing import mix, shard_of
+from ..assignment.holder import Turn, TurnHolder, TurnState
+from ..assignment.membership import Change, Member, made
+from ..assignment.messages import Codec, PartOffer
+from ..assignment.rows import Delta, PartDigest, Removed, Row, RowStore, ShardDigest, Snapshot
+from ..assignment.turns import LeaseClock, Token, TurnTable
+from .virtual_assignment_search import PLANS, Broken, Search
+
+STATES = 60_000  # of a search, at most
+SHARDS = range(0, 65_536, 331)  # those that the checks of placement look at
+MEMBERS = [Member(f"sender-{at}~{at:04x}", f"zone-{at % 5}", 100) for at in range(50)]
+
+
+# --- Checks. Each raises Broken with its name, or says in a few words how far it has looked.
+
+
+def check_order_free() -> str:
+    """The order in which members are told has no say."""
+    told = list(MEMBERS)
+    first = [placement.assign(shard, made(1, told)).members for shard in SHARDS]
+    Random(1).shuffle(told)
+    shuffled = membership.Membership(1, tuple(told), made(1, told).zone_weights)
+    for shard, expected in zip(SHARDS, first, strict=True):
+        if placement.assign(shard, shuffled).members != expected:
+            raise Broken("order-free", f"shard {shard} hangs on the order of members")
+    return f"{len(first)} shards"
+
+
+def check_zone_spread() -> str:
+    """Replicas of one shard stand in different zones, where there are as many zones."""
+    epoch = made(1, MEMBERS)
+    for shard in SHARDS:
+        found = placement.assign(shard, epoch).members
+        if len({epoch.by_id[member].zone for member in found}) < epoch.replicas:
+            raise Broken("zone-spread", f"shard {shard}: {found}")
+    return f"{len(SHARDS)} shards"
+
+
+def check_least_moves() -> str:
+    """A loss moves the shards of the member that is lost, and no others."""
+    before = made(1, MEMBERS)
+    lost = before.members[7]
+    after = membership.changed(before, Change(1, left=(lost.id,)))
+    for shard in SHARDS:
+        old, new = placement.assign(shard, before).members, placement.assign(shard, after).members
+        if lost.id not in old and old != new:
+            raise Broken("least-moves", f"shard {shard}: {old} to {new}, of which {lost.id} had none")
+    return f"{len(SHARDS)} shards"
+
+
+def check_incremental() -> str:
+    """What a member works out from one epoch to the next is what it would work out from nothing."""
+    epoch, me = made(1, MEMBERS[:20]), MEMBERS[0].id
+    held = placement.shards_of(me, epoch)
+    left = MEMBERS[5].id
+    for change in (Change(1, left=(left,)), Change(2, joined=(Member("new~1", "zone-0"),))):
+        after = membership.changed(epoch, change)
+        found = moves.shards_after(me, held, epoch, after)
+        if found != placement.shards_of(me, after):
+            raise Broken(
+                "incremental",
+                f"{me} has {len(found)} shards by the difference in epoch {after.epoch}, "
+                f"{len(placement.shards_of(me, after))} from nothing",
+            )
+        epoch, held = after, found
+    return f"{len(held)} shards"
+
+
+def check_turns(plan: str) -> Callable[[], str]:
+    def check() -> str:
+        search = Search(replace(PLANS[plan], states=STATES))
+        whole = search.run()
+        return f"search {plan}, {search.states} states{'' if whole else ', not all'}"
+
+    return check
+
+
+def check_refused() -> str:
+    """A message that is replayed, stale or spoilt is refused, and rows never go back."""
+    sender, receiver = Codec("fleet", "key", "a~1", 1), Codec("fleet", "key", "b~1", 1)
+    data = sender.encode("b~1", 3, PartOffer(PartDigest(1, 1, 1)))
+    receiver.decode(data, 3)
+    _must_refuse("replay", lambda: receiver.decode(data, 3))
+    stale = sender.encode("b~1", 2, PartOffer(PartDigest(1, 1, 1)))
+    _must_refuse("stale", lambda: receiver.decode(stale, 3))
+    foreign = Codec("other", "key", "a~1", 2).encode("b~1", 3, PartOffer(PartDigest(1, 1, 1)))
+    _must_refuse("foreign", lambda: receiver.decode(foreign, 3))
+    spoilt = bytearray(sender.encode("b~1", 3, PartOffer(PartDigest(1, 1, 1))))
+    spoilt[-1] ^= 1
+    _must_refuse("spoilt", lambda: receiver.decode(bytes(spoilt), 3))
+    return "4 messages"
+
+
+def _must_refuse(name: str, work: Callable[[], object]) -> None:
+    try:
+        work()
+    except AssignmentError:
+        return
+    raise Broken(name, "it was taken")
+
+
+def check_rows() -> str:
+    """A delta is taken if the rows then come to its digest; an older version of a row never is."""
+    shard = shard_of(1)
+    store = RowStore()
+    store.hold([shard])
+    store.put(Snapshot(shard, (Row(1, 5, b"five"),)))
+    older = RowStore()
+    older.hold([shard])
+    older.put(Snapshot(shard, (Row(1, 4, b"four"),)))
+    _must_refuse("rows-go-on", lambda: store.change(Delta(older.digest(shard), (Row(1, 4, b"four"),))))
+    _must_refuse("rows-diverge", lambda: store.change(Delta(ShardDigest(shard, 1, 1), (Row(1, 6, b"six"),))))
+    _must_refuse("rows-diverge", lambda: store.change(Delta(ShardDigest(shard, 0, 1), (), (Removed(1, 6),))))
+    return "3 deltas"
+
+
+CHECKS: dict[str, Callable[[], str]] = {
+    "placement: order-free": check_order_free,
+    "placement: zone-spread": check_zone_spread,
+    "placement: least-moves": check_least_moves,
+    "placement: incremental": check_incremental,
+    "messages": check_refused,
+    "rows": check_rows,
+    **{f"turns: {plan}": check_turns(plan) for plan in PLANS},
+}
+
+
+# --- Faults.
+
+
+@dataclass(frozen=True)
+class Fault:
+    """`patches`: (where, attribute, what takes its place). `by`: the name of the check that finds it."""
+
+    words: str
+    by: str
+    run: str  # of CHECKS
+    patches: tuple[tuple[object, str, object], ...]
+
+
+def _order_by_position(seed: int, zone: membership.Zone, how_many: int) -> list[str]:
+    ranked = sorted(range(len(zone.members)), key=lambda at: -mix(seed ^ mix(at + 1)))
+    return [zone.members[at].id for at in ranked[:how_many]]
+
+
+def _by_remainder(seed: int, zone: membership.Zone, how_many: int) -> list[str]:
+    return [zone.members[(seed + k) % len(zone.members)].id for k in range(how_many)]
+
+
+def _claim_without_owner(self: TurnTable, index: int, command: turns.Claim) -> turns.Answer:
+    self.owners.pop(command.shard, None)
+    return _CLAIM(self, index, command)
+
+
+def _claim_of_any_epoch(self: TurnTable, index: int, command: turns.Claim) -> turns.Answer:
+    if command.member not in self.leases:
+        return turns.LeaseOver()
+    token = Token(self.membership.epoch, index)
+    self.owners[command.shard] = turns.Owner(command.member, token)
+    return turns.Granted(command.shard, command.number, self.leases[command.member].opened, token)
+
+
+def _expire_whatever(self: TurnTable, command: turns.Expire) -> turns.Answer:
+    lease = self.leases.get(command.member)
+    return (
+        turns.Refused("none")
+        if lease is None
+        else _EXPIRE(self, turns.Expire(command.member, lease.opened, lease.renewed))
+    )
+
+
+def _clock_early(self: LeaseClock, ttl: float, drift: float) -> None:
+    _CLOCK(self, ttl / 2, drift)
+
+
+def _clock_without_drift(self: LeaseClock, ttl: float, drift: float) -> None:
+    _CLOCK(self, ttl, 0.0)
+
+
+def _begins_after_the_lease(self: TurnHolder, now: float, shard: int) -> bool:
+    return self.state(shard) is TurnState.HELD and now >= self._begin_from
+
+
+def _attempt_beyond_the_lease(self: TurnHolder, now: float, shard: int) -> bool:
+    return self.state(shard) is TurnState.HELD and now >= self._begin_from and now < self._until
+
+
+def _begins_while_releasing(self: TurnHolder, now: float, shard: int) -> bool:
+    turn = self._turns.get(shard)
+    return (
+        turn is not None
+        and turn.token is not None
+        and now >= self._begin_from
+        and now + self._settings.longest_attempt <= self._until
+    )
+
+
+def _released_with_attempts(self: TurnHolder, now: float) -> list[turns.Release]:
+    return [
+        turns.Release(shard, self.member, turn.token)
+        for shard, turn in self._turns.items()
+        if turn.state is TurnState.RELEASING and turn.token is not None
+    ]
+
+
+def _released_after_a_kill(self: TurnHolder, now: float) -> list[turns.Release]:
+    return [release for release in _released_with_attempts(self, now) if release.shard not in self._attempts_out]
+
+
+def _grant_of_any_claim(self: TurnHolder, grant: turns.Granted) -> bool:
+    self._turns[grant.shard] = Turn(TurnState.HELD, grant.number, grant.token)
+    return True
+
+
+def _taken_anew(self: Codec, told: messages.Envelope) -> None:
+    self._seen[told.sender] = (told.run, told.sequence)
+
+
+def _any_epoch(self: Codec, data: bytes, epoch: int) -> messages.Envelope:
+    return _DECODE(self, data, 0)
+
+
+def _undigested(self: RowStore, delta: Delta) -> None:
+    for row in delta.rows:
+        self._rows[delta.after.shard][row.destination] = row
+
+
+_CLAIM, _EXPIRE = TurnTable._claim, TurnTable._expire
+_CLOCK, _DECODE = LeaseClock.__init__, Codec.decode
+
+FAULTS: dict[str, Fault] = {
+    "order-of-members": Fault(
+        "the hash goes by a member's position, not by its id",
+        "order-free",
+        "placement: order-free",
+        ((placement, "_ranked_in_zone", _order_by_position),),
+    ),
+    "zones-ignored": Fault(
+        "all replicas of a shard are taken from one zone",
+        "zone-spread",
+        "placement: zone-spread",
+        (
+            (
+                placement.ZoneTable,
+                "order",
+                lambda self, shard: (placement.order_of_zones(shard, self.shapes, 1)[0],) * 3,
+            ),
+        ),
+    ),
+    "by-remainder": Fault(
+        "a shard goes to the member at its hash modulo their number",
+        "least-moves",
+        "placement: least-moves",
+        ((placement, "_ranked_in_zone", _by_remainder),),
+    ),
+    "weights-at-once": Fault(
+        "a zone's weight follows each single member",
+        "least-moves",
+        "placement: least-moves",
+        ((membership, "TOLERANCE", -1.0),),
+    ),
+    "gains-overlooked": Fault(
+        "the difference looks at the shards that are held alone",
+        "incremental",
+        "placement: incremental",
+        ((moves, "_any_before", lambda *_: False),),
+    ),
+    "old-epoch-granted": Fault(
+        "a claim is granted whatever epoch it goes by, and whoever owns the turn",
+        "one-owner",
+        "turns: hand-over",
+        ((TurnTable, "_claim", _claim_of_any_epoch),),
+    ),
+    "granted-over-owner": Fault(
+        "the new epoch's first replica is granted a turn that is not released",
+        "one-owner",
+        "turns: hand-over",
+        ((TurnTable, "_claim", _claim_without_owner),),
+    ),
+    "lease-ended-early": Fault(
+        "a lease is ended at half of its time", "one-owner", "turns: clocks", ((LeaseClock, "__init__", _clock_early),)
+    ),
+    "drift-not-counted": Fault(
+        "the leader ends a lease at its time, the drift not added",
+        "one-sender",
+        "turns: clocks",
+        ((LeaseClock, "__init__", _clock_without_drift),),
+    ),
+    "expired-though-renewed": Fault(
+        "an expiry that was proposed before a renewal ends the lease after it",
+        "one-owner",
+        "turns: wakes-late",
+        ((TurnTable, "_expire", _expire_whatever),),
+    ),
+    "old-epoch-not-fenced": Fault(
+        "a process that wakes after its lease's end goes on",
+        "one-owner",
+        "turns: wakes-late",
+        ((TurnHolder, "may_begin", _begins_after_the_lease),),
+    ),
+    "attempt-outlasts-lease": Fault(
+        "an attempt is begun that ends after the lease",
+        "one-sender",
+        "turns: clocks",
+        ((TurnHolder, "may_begin", _attempt_beyond_the_lease),),
+    ),
+    "begins-while-releasing": Fault(
+        "attempts are begun after the turn was given up",
+        "one-owner",
+        "turns: leaves",
+        ((TurnHolder, "may_begin", _begins_while_releasing),),
+    ),
+    "released-with-attempts": Fault(
+        "a turn is released while an attempt is out",
+        "one-sender",
+        "turns: leaves",
+        ((TurnHolder, "releases", _released_with_attempts),),
+    ),
+    "released-after-a-kill": Fault(
+        "a new run releases at once what the killed run had begun under",
+        "one-sender",
+        "turns: killed",
+        ((TurnHolder, "releases", _released_after_a_kill),),
+    ),
+    "late-grant-taken": Fault(
+        "a grant is taken whose claim was given up",
+        "one-owner",
+        "turns: hand-over",
+        ((TurnHolder, "granted", _grant_of_any_claim),),
+    ),
+    "replay-taken": Fault("a message is taken a second time", "replay", "messages", ((Codec, "_once", _taken_anew),)),
+    "old-epoch-taken": Fault(
+        "a message of an older epoch is taken", "stale", "messages", ((Codec, "decode", _any_epoch),)
+    ),
+    "replayed-delta-taken": Fault(
+        "a delta is taken without its digest and versions",
+        "rows-go-on",
+        "rows",
+        ((rows.RowStore, "change", _undigested),),
+    ),
+}
+
+
+@contextmanager
+def planted(name: str) -> Iterator[Fault]:
+    """The fault is there inside of the block."""
+    fault = FAULTS[name]
+    placement._table.cache_clear()
+    with ExitStack() as stack:
+        for where, attribute, instead in fault.patches:
+            stack.enter_context(mock.patch.object(where, attribute, instead))
+        try:
+            yield fault
+        finally:
+            placement._table.cache_clear()
+
+
+def found(name: str) -> str:
+    """What its check says of a planted fault. Raises AssertionError if another check finds it, or none."""
+    with planted(name) as fault:
+        try:
+            CHECKS[fault.run]()
+        except Broken as broken:
+            if broken.check != fault.by:
+                raise AssertionError(f"{name}: found by {broken.check}, not by {fault.by}") from broken
+            return str(broken)
+    raise AssertionError(f"{name}: {fault.by} did not find it")
+
+
+def main(argv: list[str] | None = None) -> int:
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--fault", choices=["none", *FAULTS])
+    args = parser.parse_args(argv)
+    if args.fault == "none":
+        for name, check in CHECKS.items():
+            print(f"{name}: holds, {check()}", flush=True)
+        return 0
+    missed = 0
+    for name in [args.fault] if args.fault else FAULTS:
+        try:
+            said = found(name)
+        except AssertionError as bad:
+            said, missed = f"MISSED: {bad}", missed + 1
+        print(f"| {FAULTS[name].words} (`{name}`) | {said} |", flush=True)
+    return 1 if missed else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/linkdock/lab/virtual_assignment_search.py
+++ b/linkdock/lab/virtual_assignment_search.py
@@ -365,7 +365,7 @@
     "leaves": Plan(Left(releases=1, answers=1), Left(claims=1), second_stays=False, ticks=3),
     "clocks": Plan(Left(slow_ticks=1), Left(renewals=1, claims=1), fast_ticks=1, epochs=0),
     "wakes-late": Plan(Left(renewals=1), Left(renewals=1, claims=1), epochs=0),
-    "killed": Plan(Left(opens=1, kills=1, renewals=1, releases=1), Left(claims=1, begins=1), starts_at=0.0, ticks=1),
+    "killed": Plan(Left(opens=1, kills=1, renewals=1, releases=1), Left(claims=2), starts_at=0.0, ticks=1),
 }
 
 
