--- a/linkdock/lab/virtual_assignment_cost.py
+++ b/linkdock/lab/virtual_assignment_cost.py
@@ -30,7 +30,7 @@
     def __init__(self, epoch: Membership, destinations: int) -> None:
         self._codec = Codec("fleet", "a key of sixteen", "sender-00000~0123456789abcdef", 1_700_000_000_000)
         self._epoch = epoch
-        self.row = len(_encode(row(1, 10**9)))
+        self.row = len(_encode(row(10**6, 10**9)))
         one = ShardDigest(1, 20, hashing.MASK)
         self.delta_frame = self._size(Delta(one, ()))
         self.part_offer = self._size(PartOffer(PartDigest(29, 600, hashing.MASK)))
@@ -48,8 +48,8 @@
 
 
 def row(destination: int, version: int) -> Row:
-    """A row of ROW_BYTES with what the encoding adds."""
-    return Row(destination, version, bytes(ROW_BYTES - 14))
+    """A row whose data has ROW_BYTES."""
+    return Row(destination, version, bytes(ROW_BYTES))
 
 
 class Processor(NamedTuple):
--- a/linkdock/lab/virtual_assignment_numbers.py
+++ b/linkdock/lab/virtual_assignment_numbers.py
@@ -31,8 +31,9 @@
     return mixed(np.arange(1, count + 1, dtype=np.uint64) * _GOLDEN)
 
 
-def rows_by_shard(destinations: int, shards: int = hashing.SHARD_COUNT) -> np.ndarray:
+def rows_by_shard(destinations: int) -> np.ndarray:
     """How many of the destinations 0, 1, ... fall into each shard."""
+    shards = hashing.SHARD_COUNT
     hashed = mixed(np.arange(1, destinations + 1, dtype=np.uint64) * _GOLDEN)
     return np.bincount((hashed % np.uint64(shards)).astype(np.int64), minlength=shards)
 
@@ -46,13 +47,14 @@
     ]
 
 
-def whole_assignment(epoch: Membership, shards: int = hashing.SHARD_COUNT) -> np.ndarray:
+def whole_assignment(epoch: Membership) -> np.ndarray:
     """Of each shard (row) its members as indices into `epoch.members`, the primary first.
 
     For memberships with at least as many zones as replicas, which take one member of each zone.
     """
     if len(epoch.zones) < epoch.replicas:
         raise ValueError("fewer zones than replicas: ask `assign`")
+    shards = hashing.SHARD_COUNT
     seeds = seeds_of_shards(shards)
     order = _zones_of(seeds, epoch)
     index = {member.id: at for at, member in enumerate(epoch.members)}
--- a/linkdock/lab/virtual_assignment_search.py
+++ b/linkdock/lab/virtual_assignment_search.py
@@ -14,154 +14,33 @@
 from __future__ import annotations
 
 import argparse
-import hashlib
 import sys
 import time
 from collections.abc import Iterator
 from copy import copy
-from dataclasses import dataclass, replace
-
-import msgspec
+from dataclasses import replace
 
 from ..assignment import turns
 from ..assignment.holder import TurnHolder, TurnSettings, TurnState
-from ..assignment.membership import Change, Member, Membership, made
-from ..assignment.placement import Placement
+from ..assignment.membership import Change, Member, made
 from ..assignment.turns import LeaseClock, Token, TurnTable
-
-SHARD = 0
-MEMBERS = ("a~1", "b~1")
-SETTINGS = TurnSettings(ttl=4.0, drift=0.25, longest_attempt=1.0)  # in ticks
-TABLE = 2  # where a message goes that is for the log
-STARTED_AT = -2.0  # of both at the beginning: their first attempts need not wait
-_BYTES = msgspec.msgpack.Encoder(enc_hook=str).encode
-
-
-class Broken(AssertionError):
-    """A property does not hold. `check` is its name; the text says at which depth."""
-
-    def __init__(self, check: str, text: str) -> None:
-        super().__init__(f"{check}: {text}")
-        self.check = check
-
-
-@dataclass(frozen=True)
-class Left:
-    """What may happen to one sender, and how often."""
-
-    opens: int = 0
-    renewals: int = 0
-    claims: int = 0
-    releases: int = 0
-    kills: int = 0
-    slow_ticks: int = 0
-    begins: int = 1  # attempts
-    answers: int = 0  # attempts that end before their time
-
-
-@dataclass(frozen=True)
-class Plan:
-    """What may happen to the first owner, to the other sender, and to all."""
-
-    first: Left
-    second: Left
-    fast_ticks: int = 0
-    epochs: int = 1
-    starts_at: float = 2.0  # of all clocks: the first sender's lease was asked for at 0, the second one's just now
-    ticks: int = 4
-    second_stays: bool = True  # the first epoch's owner is a replica in the second epoch too
-    states: int = 200_000
-
-
-@dataclass(frozen=True)
-class Attempt:
-    """Out at the server, until its sender's clock has reached `over`."""
-
-    over: float
-    token: Token
-
-
-@dataclass(frozen=True)
-class Sent:
-    """On the way. `to` is a sender or TABLE; `asked_at`: of the request, by the asker's clock."""
-
-    to: int
-    asker: int
-    asked_at: float
-    body: object
-
-
-@dataclass(frozen=True)
-class State:
-    """Machines are never changed in place: an event copies those that it touches."""
-
-    table: TurnTable
-    clock: LeaseClock
-    holders: tuple[TurnHolder, TurnHolder]
-    attempts: tuple[Attempt | None, Attempt | None]
-    way: tuple[Sent, ...]
-    left: tuple[Left, Left]
-    index: int = 0
-    now: float = 0.0  # of the leader's clock
-    clocks: tuple[float, float] = (0.0, 0.0)
-    ticks: int = 0
-    fast_ticks: int = 0
-    epochs: int = 0
-
-    def key(self) -> bytes:
-        table, clock = self.table, self.clock
-        holders = [
-            [
-                h.epoch,
-                h.lease,
-                h._until,
-                h._begin_from,
-                h._number,
-                sorted(h._attempts_out.items()),
-                [[s, t.state.value, t.number, t.token] for s, t in sorted(h._turns.items())],
-            ]
-            for h in self.holders
-        ]
-        way = sorted(_BYTES([m.to, m.asker, m.asked_at, type(m.body).__name__, m.body]) for m in self.way)
-        form = [
-            table.membership.epoch,
-            sorted(table.leases.items()),
-            sorted(table.owners.items()),
-            sorted(table._wanted.items()),
-            sorted(clock._due.items()),
-            holders,
-            way,
-            [a and [a.over, a.token] for a in self.attempts],
-            [vars(one) for one in self.left],
-            self.index,
-            self.now,
-            self.clocks,
-            self.ticks,
-            self.fast_ticks,
-            self.epochs,
-        ]
-        return hashlib.blake2b(_BYTES(form), digest_size=16).digest()
-
-
-def _placed(second_stays: bool):
-    def placed(shard: int, epoch: Membership) -> Placement:
-        first, second = MEMBERS if epoch.epoch == 1 else MEMBERS[::-1]
-        return Placement(shard, (first, second) if second_stays or epoch.epoch == 1 else (first,))
-
-    return placed
-
-
-def _copied_holder(holder: TurnHolder) -> TurnHolder:
-    twin = copy(holder)
-    twin._turns = {shard: copy(turn) for shard, turn in holder._turns.items()}
-    twin._attempts_out = dict(holder._attempts_out)
-    return twin
-
-
-def _copied_table(table: TurnTable) -> TurnTable:
-    twin = copy(table)
-    twin.leases, twin.owners, twin._wanted = dict(table.leases), dict(table.owners), dict(table._wanted)
-    return twin
+from .virtual_assignment_plans import (
+    DRIFT,
+    MEMBERS,
+    PLANS,
+    SHARD,
+    STARTED_AT,
+    TABLE,
+    TTL,
+    Attempt,
+    Broken,
+    Plan,
+    Sent,
+    State,
+    copied_holder,
+    copied_table,
+    placed_in_two_epochs,
+)
 
 
 class Search:
@@ -169,6 +48,7 @@
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
+        self.settings = TurnSettings(TTL, DRIFT, plan.longest_attempt)
         self.states = self.edges = self.depth = 0
         self.passed_on = 0  # begins by a sender after the other one's: the search is not of an empty world
 
@@ -194,28 +74,30 @@
 
     def _first(self) -> State:
         plan = self.plan
-        table = TurnTable(made(1, [Member(name, "z") for name in MEMBERS]), _placed(plan.second_stays))
+        table = TurnTable(made(1, [Member(name, "z") for name in MEMBERS]), placed_in_two_epochs(plan.second_stays))
         holders = tuple(self._started(k, STARTED_AT) for k in (0, 1))
-        clock = LeaseClock(SETTINGS.ttl, SETTINGS.drift)
-        for index, holder in enumerate(holders, 1):
+        clock = LeaseClock(TTL, DRIFT)
+        first, second, leader = plan.starts_at - plan.skewed, plan.starts_at, plan.starts_at + plan.skewed
+        for index, holder, asked_at, opened_at in ((1, holders[0], 0.0, 0.0), (2, holders[1], second, leader)):
             opened = table.apply(index, turns.OpenLease(holder.member))
-            holder.lease_opened(0.0 if holder.member == MEMBERS[0] else plan.starts_at, opened.lease)
-            clock.follow(0.0 if holder.member == MEMBERS[0] else plan.starts_at, table.leases)
-        holders[0].granted(table.apply(3, holders[0].claim(SHARD)))
-        return State(
-            table,
-            clock,
-            holders,
-            (None, None),
-            (),
-            (plan.first, plan.second),
-            index=3,
-            now=plan.starts_at,
-            clocks=(plan.starts_at, plan.starts_at),
-        )
+            holder.lease_opened(asked_at, opened.lease)
+            clock.follow(opened_at, table.leases)
+        claim = holders[0].claim(SHARD)
+        grant = table.apply(3, claim)
+        way: tuple[Sent, ...] = ()
+        if plan.grant_on_its_way:
+            way = (Sent(0, 0, 0.0, (claim, grant)),)
+        else:
+            holders[0].granted(grant)
+        if plan.asked_back:
+            table.apply(4, turns.NextEpoch(Change(1)))
+            holders[1].adopt(2, {SHARD: 0})
+            table.apply(4, holders[1].claim(SHARD))
+        left = (plan.first, plan.second)
+        return State(table, clock, holders, (None, None), way, left, 4, leader, (first, second))
 
     def _started(self, k: int, at: float) -> TurnHolder:
-        holder = TurnHolder(MEMBERS[k], SETTINGS, at)
+        holder = TurnHolder(MEMBERS[k], self.settings, at)
         holder.adopt(1, {SHARD: k})  # after a restart too: it has an old epoch
         return holder
 
@@ -258,7 +140,7 @@
         return state
 
     def _ended(self, state: State, k: int) -> State:
-        holder = _copied_holder(state.holders[k])
+        holder = copied_holder(state.holders[k])
         if holder._attempts_out:  # a run that was killed knows nothing of it
             holder.ended(SHARD)
         attempts = tuple(None if at == k else one for at, one in enumerate(state.attempts))
@@ -271,14 +153,14 @@
         if left.renewals and holder.renewal():
             yield self._asked(self._spent(state, k, "renewals"), k, holder.renewal())
         if left.claims:
-            twin = _copied_holder(holder)
+            twin = copied_holder(holder)
             if claim := twin.claim(SHARD):
                 yield self._asked(self._spent(self._with(state, k, twin), k, "claims"), k, claim)
         if left.releases:
             for release in holder.releases(now):
                 yield self._asked(self._spent(state, k, "releases"), k, release)
         if holder.epoch < state.table.membership.epoch:
-            twin = _copied_holder(holder)
+            twin = copied_holder(holder)
             twin.adopt(2, {SHARD: 0} if k else {SHARD: 1} if self.plan.second_stays else {})
             yield self._with(state, k, twin)
         if left.begins and holder.may_begin(now, SHARD) and state.attempts[k] is None:
@@ -295,10 +177,10 @@
                 "one-sender",
                 f"{MEMBERS[k]} begins while an attempt of {MEMBERS[1 - k]} is out, " f"depth {self.depth + 1}",
             )
-        holder = _copied_holder(state.holders[k])
+        holder = copied_holder(state.holders[k])
         token = holder.begin(state.clocks[k], SHARD)
         self.passed_on += k
-        attempt = Attempt(state.clocks[k] + SETTINGS.longest_attempt, token)
+        attempt = Attempt(state.clocks[k] + self.settings.longest_attempt, token)
         attempts = tuple(attempt if at == k else one for at, one in enumerate(state.attempts))
         return replace(self._with(state, k, holder), attempts=attempts)
 
@@ -308,7 +190,7 @@
         return replace(state, way=(*state.way, Sent(TABLE, k, state.clocks[k], body)))
 
     def _applied(self, state: State, command: turns.Command, sent: Sent | None) -> State:
-        table, clock = _copied_table(state.table), copy(state.clock)
+        table, clock = copied_table(state.table), copy(state.clock)
         before = max((owner.token for owner in table.owners.values()), default=Token(0, 0))
         answer = table.apply(state.index + 1, command)
         clock.follow(state.now, table.leases)
@@ -322,7 +204,7 @@
         return self._checked(state)
 
     def _arrived(self, state: State, sent: Sent) -> State:
-        holder = _copied_holder(state.holders[sent.to])
+        holder = copied_holder(state.holders[sent.to])
         command, answer = sent.body
         match answer:
             case turns.Opened(lease):
@@ -358,17 +240,6 @@
         return state
 
 
-PLANS = {
-    "hand-over": Plan(
-        Left(renewals=1, releases=2, claims=1, answers=1), Left(claims=2, answers=1), starts_at=0.0, ticks=2
-    ),
-    "leaves": Plan(Left(releases=1, answers=1), Left(claims=1), second_stays=False, ticks=3),
-    "clocks": Plan(Left(slow_ticks=1), Left(renewals=1, claims=1), fast_ticks=1, epochs=0),
-    "wakes-late": Plan(Left(renewals=1), Left(renewals=1, claims=1), epochs=0),
-    "killed": Plan(Left(opens=1, kills=1, renewals=1, releases=1), Left(claims=2), starts_at=0.0, ticks=1),
-}
-
-
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--states", type=int, default=200_000)
