--- a/linkdock/assignment/turns.py
+++ b/linkdock/assignment/turns.py
@@ -147,7 +147,8 @@
         self.membership = membership
         self.leases: dict[str, Lease] = {}
         self.owners: dict[int, Owner] = {}
-        self._wanted: dict[int, str] = {}  # turns to be given up, with who claimed them last
+        self._shards_of: dict[str, set[int]] = {}  # of each owner
+        self._wanted: set[int] = set()  # turns to be given up: the first live replica has claimed them
         self._placed = placed
 
     def apply(self, index: int, command: Command) -> Answer:
@@ -191,20 +192,24 @@
         return Renewed(lease.opened, self._to_give_up(command.member))
 
     def _to_give_up(self, member: str) -> tuple[tuple[int, Token], ...]:
-        wanted = [(shard, self.owners[shard].token) for shard in self._wanted if self.owners[shard].member == member]
-        return tuple(wanted[:MOST_GIVE_UP])
+        wanted = sorted(self._shards_of.get(member, set()) & self._wanted)[:MOST_GIVE_UP]
+        return tuple((shard, self.owners[shard].token) for shard in wanted)
 
     def _expire(self, command: Expire) -> Answer:
         if self.leases.get(command.member) != Lease(command.lease, command.renewed):
             return Refused("it has been renewed")
         del self.leases[command.member]
-        for shard in [shard for shard, owner in self.owners.items() if owner.member == command.member]:
+        for shard in sorted(self._shards_of.get(command.member, ())):
             self._vacate(shard)
         return Done()
 
     def _vacate(self, shard: int) -> None:
-        del self.owners[shard]
-        self._wanted.pop(shard, None)
+        member = self.owners.pop(shard).member
+        self._wanted.discard(shard)
+        shards = self._shards_of[member]
+        shards.discard(shard)
+        if not shards:
+            del self._shards_of[member]
 
     def _claim(self, index: int, command: Claim) -> Answer:
         lease = self.leases.get(command.member)
@@ -220,11 +225,12 @@
         if first != command.member:
             return Taken(command.shard, command.number, first)
         if owner is not None and owner.member != command.member:
-            self._wanted[command.shard] = command.member
+            self._wanted.add(command.shard)
             return Taken(command.shard, command.number, owner.member)
         token = Token(self.membership.epoch, index)
         self.owners[command.shard] = Owner(command.member, token)
-        self._wanted.pop(command.shard, None)
+        self._shards_of.setdefault(command.member, set()).add(command.shard)
+        self._wanted.discard(command.shard)
         return Granted(command.shard, command.number, lease.opened, token)
 
     def _release(self, command: Release) -> Answer:
@@ -242,14 +248,16 @@
         self._length = ttl * (1 + drift)
         self._due: dict[str, tuple[float, Lease]] = {}
 
-    def follow(self, now: float, leases: dict[str, Lease]) -> None:
-        """After entries were applied, and on becoming the leader (on a new clock)."""
-        self._due = {
-            member: self._due[member]
-            if member in self._due and self._due[member][1] == lease
-            else (now + self._length, lease)
-            for member, lease in leases.items()
-        }
+    def lead(self, now: float, leases: dict[str, Lease]) -> None:
+        """From the moment that this process leads."""
+        self._due = {member: (now + self._length, lease) for member, lease in leases.items()}
+
+    def applied(self, now: float, member: str, lease: Lease | None) -> None:
+        """An entry about this member was applied just now; `lease` is what came of it."""
+        if lease is None:
+            self._due.pop(member, None)
+        elif member not in self._due or self._due[member][1] != lease:
+            self._due[member] = (now + self._length, lease)
 
     def expired(self, now: float) -> list[Expire]:
         """What to propose now."""
--- a/linkdock/lab/virtual_assignment_faults.py
+++ b/linkdock/lab/virtual_assignment_faults.py
@@ -43,7 +43,8 @@
 
 
 def _claim_without_owner(self: TurnTable, index: int, command: turns.Claim) -> turns.Answer:
-    self.owners.pop(command.shard, None)
+    if command.shard in self.owners:
+        self._vacate(command.shard)
     return _CLAIM(self, index, command)
 
 
--- a/linkdock/lab/virtual_assignment_plans.py
+++ b/linkdock/lab/virtual_assignment_plans.py
@@ -116,7 +116,7 @@
             table.membership.epoch,
             sorted(table.leases.items()),
             sorted(table.owners.items()),
-            sorted(table._wanted.items()),
+            sorted(table._wanted),
             sorted(clock._due.items()),
             holders,
             way,
@@ -151,7 +151,14 @@
 
 def copied_table(table: TurnTable) -> TurnTable:
     twin = copy(table)
-    twin.leases, twin.owners, twin._wanted = dict(table.leases), dict(table.owners), dict(table._wanted)
+    twin.leases, twin.owners, twin._wanted = dict(table.leases), dict(table.owners), set(table._wanted)
+    twin._shards_of = {member: set(shards) for member, shards in table._shards_of.items()}
+    return twin
+
+
+def copied_clock(clock: LeaseClock) -> LeaseClock:
+    twin = copy(clock)
+    twin._due = dict(clock._due)
     return twin
 
 
@@ -169,7 +176,7 @@
         ticks=5,
         longest_attempt=2.0,
     ),
-    "skewed": Plan(Left(), Left(claims=1), epochs=0, ticks=3, longest_attempt=2.0, skewed=True),
+    "skewed": Plan(Left(), Left(claims=1, renewals=1), epochs=0, ticks=3, longest_attempt=2.0, skewed=True),
     "wakes-late": Plan(Left(renewals=1), Left(renewals=1, claims=1), epochs=0),
     "renewed": Plan(Left(renewals=1), Left(claims=1), epochs=0, starts_at=4.0, ticks=2),
     "late-grant": Plan(
--- a/linkdock/lab/virtual_assignment_search.py
+++ b/linkdock/lab/virtual_assignment_search.py
@@ -17,7 +17,6 @@
 import sys
 import time
 from collections.abc import Iterator
-from copy import copy
 from dataclasses import replace
 
 from ..assignment import turns
@@ -37,6 +36,7 @@
     Plan,
     Sent,
     State,
+    copied_clock,
     copied_holder,
     copied_table,
     placed_in_two_epochs,
@@ -81,7 +81,7 @@
         for index, holder, asked_at, opened_at in ((1, holders[0], 0.0, 0.0), (2, holders[1], second, leader)):
             opened = table.apply(index, turns.OpenLease(holder.member))
             holder.lease_opened(asked_at, opened.lease)
-            clock.follow(opened_at, table.leases)
+            clock.applied(opened_at, holder.member, table.leases[holder.member])
         claim = holders[0].claim(SHARD)
         grant = table.apply(3, claim)
         way: tuple[Sent, ...] = ()
@@ -190,10 +190,11 @@
         return replace(state, way=(*state.way, Sent(TABLE, k, state.clocks[k], body)))
 
     def _applied(self, state: State, command: turns.Command, sent: Sent | None) -> State:
-        table, clock = copied_table(state.table), copy(state.clock)
+        table, clock = copied_table(state.table), copied_clock(state.clock)
         before = max((owner.token for owner in table.owners.values()), default=Token(0, 0))
         answer = table.apply(state.index + 1, command)
-        clock.follow(state.now, table.leases)
+        for member in MEMBERS:
+            clock.applied(state.now, member, table.leases.get(member))
         if isinstance(answer, turns.Granted) and answer.token <= before:
             raise Broken("token-rises", f"{answer.token} after {before}, depth {self.depth + 1}")
         used = isinstance(answer, turns.Opened | turns.Renewed | turns.Granted)
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -197,10 +197,10 @@
 
 def test_a_proposer_that_is_cut_off_takes_nobody_out_but_a_whole_zone_may_leave():
     epoch, told = made(1, members(40)), members(40)
-    cut, zone_lost = Departures(), Departures()
+    cut, alone, zone_lost = Departures(), Departures(), Departures()
     for now in (0.0, GRACE, 2 * GRACE):
         assert cut.propose(now, told[:20], epoch) is None
-        assert cut.propose(now, [], epoch) is None
+        assert alone.propose(now, [], epoch) is None
     away = [member for member in told if member.zone != "zone-4"]
     assert zone_lost.propose(0.0, away, epoch) is None
     change = zone_lost.propose(GRACE, away, epoch)
--- a/tests/test_assignment_rows.py
+++ b/tests/test_assignment_rows.py
@@ -104,6 +104,7 @@
         (Delta(ShardDigest(SHARD, 0, 0), (Row(2, 9, b"of another shard"),)), DivergedRows),
         (Delta(ShardDigest(SHARD, 0, 0), (Row(OF_SHARD[0], 9, b"x" * 5000),)), DivergedRows),
         (Delta(ShardDigest(SHARD ^ 1, 0, 0), ()), DivergedRows),
+        (Snapshot(SHARD, (Row(2, 9, b"of another shard"),)), DivergedRows),
         (Snapshot(SHARD, (Row(OF_SHARD[0], 4, b"old"),)), StaleMessage),
         (Snapshot(SHARD, (Row(OF_SHARD[0], 9, b"a"), Row(OF_SHARD[0], 9, b"b"))), DivergedRows),
         (Snapshot(SHARD ^ 1, ()), DivergedRows),
--- a/tests/test_assignment_turns.py
+++ b/tests/test_assignment_turns.py
@@ -125,8 +125,9 @@
 def test_a_dead_owner_is_replaced_after_its_leases_end_and_the_drift_and_not_before(world):
     clock = LeaseClock(SETTINGS.ttl, SETTINGS.drift)
     world.claim(A)
-    clock.follow(10.5, world.table.leases)
+    clock.lead(10.5, world.table.leases)
     assert clock.expired(20.69) == []
+    clock.applied(15.0, A, world.table.leases[A])  # nothing new of it: its time runs on
     assert clock.expired(20.71) == [Expire(A, 1, 1), Expire(B, 2, 2)]
     assert world.claim(B) == Taken(SHARD, 1, A)
     assert world.apply(Expire(A, 1, 1)) == Done()
@@ -153,6 +154,13 @@
     assert isinstance(world.apply(Expire(A, 1, 1)), Refused) and world.table.owners[SHARD].member == A
 
 
+def test_an_answer_to_an_older_opening_that_comes_late_takes_no_turn_away(world):
+    world.open(A, 10.0)
+    world.claim(A)
+    world.holders[A].lease_opened(10.0, 1)
+    assert world.holders[A].may_begin(11.0, SHARD) and world.holders[A].lease == 3
+
+
 def test_a_lease_counts_from_when_it_was_asked_for(world):
     world.claim(A)
     holder = world.holders[A]
@@ -245,6 +253,6 @@
 
 def test_a_new_leader_gives_each_lease_its_whole_time(world):
     old, new = (LeaseClock(SETTINGS.ttl, SETTINGS.drift) for _ in range(2))
-    old.follow(0.0, world.table.leases)
-    new.follow(9.0, world.table.leases)
+    old.lead(0.0, world.table.leases)
+    new.lead(9.0, world.table.leases)
     assert len(old.expired(10.3)) == 2 and new.expired(19.0) == [] and len(new.expired(19.3)) == 2
