--- a/linkdock/lab/virtual_assignment_checks.py
+++ b/linkdock/lab/virtual_assignment_checks.py
@@ -13,8 +13,9 @@
 from ..assignment.membership import Change, Member, made
 from ..assignment.messages import Codec, PartOffer
 from ..assignment.rows import Delta, PartDigest, Removed, Row, RowStore, ShardDigest, Snapshot
-from .virtual_assignment_plans import PLANS, Broken
+from .virtual_assignment_plans import PLANS
 from .virtual_assignment_search import Search
+from .virtual_log_checks import Broken
 
 STATES = 130_000  # of a search, at most
 SHARDS = range(0, 65_536, 331)  # those that the checks of placement look at
--- a/linkdock/lab/virtual_assignment_faults.py
+++ b/linkdock/lab/virtual_assignment_faults.py
@@ -20,7 +20,7 @@
 from ..assignment.rows import Delta, RowStore
 from ..assignment.turns import LeaseClock, Token, TurnTable
 from .virtual_assignment_checks import CHECKS
-from .virtual_assignment_plans import Broken
+from .virtual_log_checks import Broken
 
 
 @dataclass(frozen=True)
@@ -257,8 +257,8 @@
         try:
             CHECKS[fault.run]()
         except Broken as broken:
-            if broken.check != fault.by:
-                raise AssertionError(f"{name}: found by {broken.check}, not by {fault.by}") from broken
+            if broken.name != fault.by:
+                raise AssertionError(f"{name}: found by {broken.name}, not by {fault.by}") from broken
             return str(broken)
     raise AssertionError(f"{name}: {fault.by} did not find it")
 
--- a/linkdock/lab/virtual_assignment_plans.py
+++ b/linkdock/lab/virtual_assignment_plans.py
@@ -22,14 +22,6 @@
 _BYTES = msgspec.msgpack.Encoder(enc_hook=str).encode
 
 
-class Broken(AssertionError):
-    """A property does not hold. `check` is its name; the text says at which depth."""
-
-    def __init__(self, check: str, text: str) -> None:
-        super().__init__(f"{check}: {text}")
-        self.check = check
-
-
 @dataclass(frozen=True)
 class Left:
     """What may happen to one sender, and how often."""
--- a/linkdock/lab/virtual_assignment_search.py
+++ b/linkdock/lab/virtual_assignment_search.py
@@ -32,7 +32,6 @@
     TABLE,
     TTL,
     Attempt,
-    Broken,
     Plan,
     Sent,
     State,
@@ -41,6 +40,7 @@
     copied_table,
     placed_in_two_epochs,
 )
+from .virtual_log_checks import Broken
 
 
 class Search:
