--- a/linkdock/assignment/membership.py
+++ b/linkdock/assignment/membership.py
@@ -103,7 +103,7 @@
     """A membership from nothing, each zone as heavy as its members. Raises BadMembership."""
     sorted_members = tuple(sorted(members, key=lambda member: member.id))
     weights = _weights_of_zones(sorted_members)
-    return _checked(Membership(epoch, sorted_members, _as_zone_weights(weights), replicas))
+    return checked(Membership(epoch, sorted_members, _as_zone_weights(weights), replicas))
 
 
 def changed(before: Membership, change: Change) -> Membership:
@@ -127,7 +127,7 @@
         old = agreed.get(zone, 0)
         near = abs(actual - old) <= TOLERANCE * old
         weights[zone] = told.get(zone, old if near else actual)
-    return _checked(Membership(before.epoch + 1, after, _as_zone_weights(weights), before.replicas))
+    return checked(Membership(before.epoch + 1, after, _as_zone_weights(weights), before.replicas))
 
 
 def _weights_of_zones(members: Iterable[Member]) -> dict[str, int]:
@@ -141,7 +141,8 @@
     return tuple(ZoneWeight(zone, weight) for zone, weight in sorted(weights.items()))
 
 
-def _checked(membership: Membership) -> Membership:
+def checked(membership: Membership) -> Membership:
+    """The same. Raises BadMembership for one that cannot be, whoever says that it is agreed on."""
     if membership.epoch < 1 or not 1 <= membership.replicas <= MOST_REPLICAS:
         raise BadMembership(f"epoch {membership.epoch}, {membership.replicas} replicas")
     if len(membership.members) > MOST_MEMBERS:
@@ -156,6 +157,11 @@
             raise BadMembership(f"{member.id}: a zone's name has 1 to {MOST_ZONE} bytes")
         if not 0 < member.weight <= MOST_WEIGHT:
             raise BadMembership(f"{member.id}: a weight is 1 to {MOST_WEIGHT}, not {member.weight}")
+    zones = {member.zone for member in membership.members}
+    if [zone.zone for zone in membership.zone_weights] != sorted(zones):
+        raise BadMembership("the zones with a weight are not those with members")
+    if list(membership.by_id) != sorted(membership.by_id):
+        raise BadMembership("members are not sorted by id")
     if any(zone.weight <= 0 for zone in membership.zone_weights):
         raise BadMembership("a zone's weight must be above 0")
     return membership
--- a/linkdock/assignment/messages.py
+++ b/linkdock/assignment/messages.py
@@ -20,7 +20,6 @@
 
 DIGEST = 16  # bytes
 MOST_MESSAGE = 1 << 20  # bytes, as a frame of cluster/wire.py
-MOST_WAITING = 10_000  # messages in one hand-over; more go into further ones
 MOST_PEERS = 20_000  # whose newest sequence is kept
 _BAD = (msgspec.MsgspecError, ValueError, RecursionError)
 
@@ -86,6 +85,7 @@
     token: Token
     waiting: tuple[WaitingMessage, ...]
     learned: tuple[LearnedState, ...]
+    last: bool = True  # of the shard's
 
 
 Body = EpochChange | EpochSnapshot | PartOffer | DigestsWanted | DigestOffer | Snapshot | Delta | HandOver
--- a/tests/test_assignment_rows.py
+++ b/tests/test_assignment_rows.py
@@ -5,7 +5,9 @@
 import msgspec
 import pytest
 
+from linkdock.assignment import pieces
 from linkdock.assignment.errors import (
+    BadMembership,
     DivergedRows,
     ForeignMessage,
     ReplayedMessage,
@@ -227,5 +229,44 @@
     assert b._seen == {}
 
 
+@pytest.mark.parametrize("members", [1, 1000, 2500])
+def test_a_membership_comes_whole_out_of_its_pieces_in_any_order_and_never_half(members):
+    epoch = made(3, [Member(f"s{at:04d}~1", f"z{at % 3}") for at in range(members)])
+    told = pieces.epoch_in_pieces(epoch)
+    Random(1).shuffle(told)
+    assert len(told) == -(-members // 1000) and pieces.epoch_of_pieces(told) == epoch
+    if len(told) > 1:
+        assert pieces.epoch_of_pieces(told[1:]) is None
+    spoilt = msgspec.structs.replace(told[0], members=told[0].members[1:])
+    with pytest.raises(BadMembership):
+        pieces.epoch_of_pieces([spoilt, *told[1:]])
+    with pytest.raises(BadMembership):
+        pieces.epoch_of_pieces([*told, *pieces.epoch_in_pieces(made(4, epoch.members))])
+
+
+def test_a_change_is_taken_once_from_the_epoch_that_it_names_and_if_it_comes_to_its_digest():
+    epoch = made(1, [Member(f"s{at}~1", "z") for at in range(5)])
+    told = pieces.change_message(epoch, Change(1, left=("s3~1",)))
+    after = pieces.next_epoch(epoch, told)
+    assert after.epoch == 2 and "s3~1" not in after.by_id
+    with pytest.raises(StaleMessage):
+        pieces.next_epoch(after, told)
+    for bad in (EpochChange(Change(2), told.digest), EpochChange(told.change, b"another.")):
+        with pytest.raises(BadMembership):
+            pieces.next_epoch(epoch, bad)
+
+
+def test_what_is_handed_over_keeps_its_order_and_its_bound():
+    waiting = [WaitingMessage(f"id-{at}", "key", 1, 1000, bytes(60_000)) for at in range(20)]
+    learned = (LearnedState(1, 1, 0, b"estimates"),)
+    told = list(pieces.hand_overs(SHARD, Token(2, 7), waiting, learned))
+    assert [one.last for one in told] == [False, False, True]
+    assert [message for one in told for message in one.waiting] == waiting
+    assert told[0].learned == learned and not told[1].learned
+    sender = codecs()[0]
+    assert all(len(sender.encode("b~1", 1, one)) < 1 << 20 for one in told)
+    assert list(pieces.hand_overs(SHARD, Token(2, 7), [], [])) == [HandOver(SHARD, Token(2, 7), (), ())]
+
+
 def test_a_rows_hash_stays_as_it_is():
     assert row_hash(Row(1, 2, b"abc")) == 0xF704330C93D94697
