--- a/linkdock/console/main.py
+++ b/linkdock/console/main.py
@@ -210,6 +210,29 @@
                                 "jobs": jobs}, as_json)
 
 
+@lab.command()
+@click.argument("what", metavar="RUN|all|table|plot")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="One seed, one schedule.")
+@click.option("--sizes", help="Sizes with commas between; else those of the run.")
+@click.option("--seconds", type=click.FloatRange(1), default=600.0, show_default=True, help="Most for one size.")
+@click.option("--memory-mb", type=click.FloatRange(50), default=3500.0, show_default=True, help="Most for one size.")
+@click.option("--results", type=click.Path(path_type=Path, file_okay=False), default=Path("docs/capacity"),
+              show_default=True, help="Folder that results are written to, and read from by table and plot.")
+@click.option("--page", type=click.Path(path_type=Path, dir_okay=False), help="With table: put them into this page.")
+def scale(what: str, seed: int, sizes: str | None, seconds: float, memory_mb: float, results: Path,
+          page: Path | None) -> None:
+    """What a fleet of the size to design for would cost: measure slopes, print tables and the plot from them."""
+    try:
+        from ..lab.scale.command import Asked, carry_out
+    except ImportError as bad:
+        raise refusal(MissingPackages("requirements-lab.txt", bad, "the laboratory")) from None
+    try:
+        click.echo(carry_out(Asked(what, seed, sizes, seconds, memory_mb, results, page),
+                             lambda text: click.echo(text, err=True)), nl=False)
+    except ValueError as bad:
+        raise refusal(bad) from None
+
+
 def _experiment(name: str, file: Path | None, options: dict, as_json: bool) -> None:
     """Read the plan, run the experiment of that name and print its report."""
     import importlib
