--- a/linkdock/lab/scale/measuring.py
+++ b/linkdock/lab/scale/measuring.py
@@ -6,6 +6,7 @@
 import time
 import tracemalloc
 from collections.abc import Callable
+from pathlib import Path
 from typing import TypeVar
 
 from ...cluster.interface import AnyPacket
@@ -48,6 +49,14 @@
         tracemalloc.stop()
 
 
+def resident() -> int:
+    """Bytes of memory that this process has resident."""
+    for line in Path("/proc/self/status").read_text().splitlines():
+        if line.startswith("VmRSS:"):
+            return int(line.split()[1]) * 1024
+    raise RuntimeError("/proc/self/status has no VmRSS")
+
+
 class DatagramCodec:
     """Bytes of each datagram as it is signed, and the cost of signing and checking it, taken on every `every`th."""
 
