--- a/linkdock/lab/scale/decisions.py
+++ b/linkdock/lab/scale/decisions.py
@@ -23,6 +23,7 @@
 SLEEPS_AFTER = 60.0  # seconds
 DESTINATIONS = 1000  # where another thing is what grows
 DOWN = 0.01  # share of destinations that are down
+MOST_AWAKE = 20_000  # destinations
 DEADLINE, LONG = 6.0, 3600.0  # seconds that a message has; one that is held
 
 
@@ -147,9 +148,14 @@
 
 
 def against_destinations(size: int, seed: int) -> list[Figure]:
-    """Traffic spread evenly over so many destinations, 1 % down: all awake, and with those at rest asleep."""
+    """Traffic spread evenly over so many destinations, 1 % down: all awake, and with those at rest asleep.
+
+    Beyond MOST_AWAKE there is no figure for all awake: as objects they take more memory than there is.
+    """
     figures = []
     for sleeps, name in ((False, "all awake"), (True, "with sleep")):
+        if not sleeps and size > MOST_AWAKE:
+            continue
         driver = Driver(settings(), seed, size, sleeps)
         if not sleeps:
             driver.list_all()
--- a/linkdock/lab/scale/replication.py
+++ b/linkdock/lab/scale/replication.py
@@ -9,6 +9,7 @@
 
 import heapq
 import time
+from collections.abc import Callable
 from itertools import count
 from random import Random
 
@@ -21,11 +22,12 @@
 from .members_mesh import LIFE, ZONES
 from .rows import Figure
 
-VOTERS = 7
+VOTERS = 7  # unless a run says otherwise
 SETTINGS = LogSettings(heartbeat=0.15, election=1.0, span=1.0)  # as deploy/cluster.json has it by default
 STEP, SETTLED, IDLE, BETWEEN = 0.1, 0.5, 1.5, 0.4  # seconds
 CHANGES = 5  # proposed one by one
 CHANGE = 400  # bytes of a change
+TURN = 0.001  # seconds of a turn of a process's loop: what comes in meanwhile is answered together
 NEAR, FAR = (0.0005, 0.002), (0.005, 0.04)  # seconds of a message within a zone and between zones
 
 
@@ -35,26 +37,26 @@
     def __init__(self, number: int, config: Config, seed: int) -> None:
         self.id, self.zone = (*config.voters, *config.learners)[number], number % ZONES
         self.core = Core(self.id, Stored(image=Image(0, 0, config, b"")), SETTINGS, seed, 0.0)
-        self.seconds, self.due = 0.0, 0.0
+        self.seconds, self.due, self.turning = 0.0, 0.0, False
 
 
-def config_of(senders: int) -> Config:
-    names = [f"sender-{n:04d}~{LIFE + n}" for n in range(VOTERS + senders)]
-    return Config(tuple(names[:VOTERS]), tuple(names[VOTERS:]))
+def config_of(senders: int, voters: int) -> Config:
+    names = [f"sender-{n:04d}~{LIFE + n}" for n in range(voters + senders)]
+    return Config(tuple(names[:voters]), tuple(names[voters:]))
 
 
 class Fleet:
     """Voters first, then a learner for each sender. `leader` is the first voter until `elect` has found who leads."""
 
-    def __init__(self, senders: int, seed: int) -> None:
-        self.random, self.now = Random(seed), 0.0
-        self.config = config_of(senders)
-        self.replicas = [Replica(n, self.config, seed + n) for n in range(VOTERS + senders)]
+    def __init__(self, senders: int, seed: int, voters: int = VOTERS) -> None:
+        self.random, self.now, self.voters = Random(seed), 0.0, voters
+        self.config = config_of(senders, voters)
+        self.replicas = [Replica(n, self.config, seed + n) for n in range(voters + senders)]
         self.by_id = {one.id: one for one in self.replicas}
         self.codec = FrameCodec()
         self.bytes_of_leader = self.frames = 0
         self.applied: dict[tuple[str, int], float] = {}
-        self._events: list[tuple[float, int, Replica, str, object]] = []
+        self._events: list[tuple[float, int, Replica, Callable[[Replica], None]]] = []
         self._order = count()
         self.leader = self.replicas[0]
         for one in self.replicas:
@@ -64,12 +66,27 @@
         due = one.core.next_due()
         if due != one.due:
             one.due = due
-            heapq.heappush(self._events, (due, next(self._order), one, "", None))
+            heapq.heappush(self._events, (due, next(self._order), one, self._tick))
 
-    def _do(self, one: Replica, what) -> None:
-        """Hand something in and do all that is ready then, the disk being at once done."""
+    def _tick(self, one: Replica) -> None:
+        if one.core.next_due() <= self.now:
+            one.due = 0.0
+            self.hand_in(one, lambda: one.core.tick(self.now))
+
+    def hand_in(self, one: Replica, what: Callable[[], object]) -> object:
+        """One fact for a log. What is ready then is done at the end of the loop's turn, with all that came by then."""
+        began = time.process_time()
+        made = what()
+        one.seconds += time.process_time() - began
+        if not one.turning:
+            one.turning = True
+            heapq.heappush(self._events, (self.now + TURN, next(self._order), one, self._turn))
+        return made
+
+    def _turn(self, one: Replica) -> None:
+        """Do all that is ready, the disk being done at once."""
+        one.turning = False
         began = time.process_time()
-        what()
         steps = list(iter(one.core.ready, None))
         one.seconds += time.process_time() - began
         for ready in steps:
@@ -88,24 +105,24 @@
         if self.leader in (one, to):
             self.bytes_of_leader, self.frames = self.bytes_of_leader + size, self.frames + 1
         trip = self.random.uniform(*(NEAR if one.zone == to.zone else FAR))
-        heapq.heappush(self._events, (self.now + trip, next(self._order), to, one.id, message))
+
+        def arrives(to: Replica) -> None:
+            self.hand_in(to, lambda: to.core.step(self.now, one.id, message))
+
+        heapq.heappush(self._events, (self.now + trip, next(self._order), to, arrives))
 
     def elect(self) -> None:
         """Go on until one leads and all follow it."""
-        while not any(one.core.leading for one in self.replicas[:VOTERS]):
+        while not any(one.core.leading for one in self.replicas[: self.voters]):
             self.run(self.now + STEP)
-        self.leader = next(one for one in self.replicas[:VOTERS] if one.core.leading)
+        self.leader = next(one for one in self.replicas[: self.voters] if one.core.leading)
         self.run(self.now + SETTLED)
 
     def run(self, until: float) -> None:
         while self._events[0][0] <= until:
-            at, _, one, sender, message = heapq.heappop(self._events)
+            at, _, one, what = heapq.heappop(self._events)
             self.now = max(self.now, at)
-            if message is not None:
-                self._do(one, lambda one=one, sender=sender, message=message: one.core.step(self.now, sender, message))
-            elif at == one.due:
-                one.due = 0.0
-                self._do(one, lambda one=one: one.core.tick(self.now))
+            what(one)
         self.now = until
 
 
@@ -122,8 +139,7 @@
     spent, sent = fleet.leader.seconds, fleet.bytes_of_leader
     for _ in range(CHANGES):
         began = fleet.now
-        _, index = fleet.leader.core.propose(fleet.now, bytes(CHANGE))
-        fleet._do(fleet.leader, lambda: None)
+        _, index = fleet.hand_in(fleet.leader, lambda: fleet.leader.core.propose(fleet.now, bytes(CHANGE)))
         fleet.run(fleet.now + BETWEEN)
         times = sorted(fleet.applied[one.id, index] - began for one in learners if (one.id, index) in fleet.applied)
         if len(times) < size:
--- a/linkdock/lab/scale/runs.py
+++ b/linkdock/lab/scale/runs.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from . import decisions, journal, judging, learned, listing, members_mesh, members_sampled, replication
+from . import against_real, decisions, journal, judging, learned, listing, members_mesh, members_sampled, replication
 from .rows import Figure, Row, Unfinished, save
 
 ROOT = Path(__file__).parent.parent.parent.parent
@@ -33,7 +33,10 @@
     "list": Run(listing.measure, (1000, 10_000, 50_000, 200_000, 1_300_000), "rows", "the socket"),
     "learned": Run(learned.measure, (1000, 4000, 16_000, 64_000), "destinations", "the list, calls, the journal"),
     "decisions-destinations": Run(
-        decisions.against_destinations, (20, 200, 2000, 20_000), "destinations", "clients, calls, the journal"
+        decisions.against_destinations,
+        (20, 200, 2000, 20_000, 200_000, 1_300_000),
+        "destinations",
+        "clients, calls, the journal",
     ),
     "decisions-held": Run(
         decisions.against_held, (100, 1000, 10_000, 50_000), "held messages", "clients, calls, the journal"
@@ -50,7 +53,9 @@
     "members-sampled": Run(
         members_sampled.measure, (100, 400, 1600, 6800), "members", "all members but one, which are stand-ins"
     ),
-    "log": Run(replication.measure, (100, 200, 400, 800, 1600), "senders", "disk, sockets, steering"),
+    "log": Run(replication.measure, (100, 400, 1600, 6800), "senders", "disk, sockets, steering"),
+    "hollow": Run(against_real.hollow, (3, 5, 10, 20), "processes", "delivery, disk, sockets, steering"),
+    "real": Run(against_real.real, (3, 5, 10, 20), "processes", "nothing: real processes, at rest"),
     "judge": Run(judging.measure, (100, 400, 1600, 6800), "senders", "links; no process runs the judge yet"),
 }
 
@@ -81,7 +86,8 @@
         return f"not done within {seconds:.0f} s"
     if done.returncode:
         lines = done.stderr.strip().splitlines()
-        return lines[-1] if lines else f"ended with status {done.returncode}"
+        # Danger: without memory the interpreter raises what it can, not always a MemoryError.
+        return f"with {memory_mb:.0f} MB: {lines[-1] if lines else f'ended with status {done.returncode}'}"
     return msgspec.json.decode(done.stdout, type=list[Figure])
 
 
