--- a/linkdock/lab/scale/sender_needs.py
+++ b/linkdock/lab/scale/sender_needs.py
@@ -11,12 +11,14 @@
 from .verdicts import Need
 
 GIVEN_COST = 0.45 / 400  # processor seconds a message of a whole real sender, as issue 30 gives it; not run here
+TOO_LONG = "more than a tenth of `limits.memory_mb`"
 SITE_MEMORY = 192e6  # bytes that sites of today allow a sender
 
 
 def sender_control(f: Figures) -> list[Need]:
     """What a sender holds, hears and computes beside its delivery."""
     whole, memory = f.list_of("wire bytes of a whole list"), f.list_of("memory of the list")
+    reading = f.list_of("processor time of a whole list")
     list_factor = f.factor("list", "wire bytes of a whole list", d.DESTINATIONS)
     row_wire, row_memory = f.row("wire bytes of a whole list"), f.row("memory of the list")
     member_wire = f.fleet("members-sampled", "wire bytes a second, sent and received")
@@ -33,7 +35,17 @@
     bound = f"{MOST_MEMBERS:,} members"
     ours = d.ROWS_ASSIGNED
     return [
-        Need("list: memory of 1.3 million rows", memory, "B", d.MEMORY, list_factor, LIST),
+        Need("list: memory of 1.3 million rows", memory, "B", d.MEMORY, list_factor, LIST, TOO_LONG),
+        Need(
+            "list: memory while one takes another's place, for a minute",
+            times(memory, 2),
+            "B",
+            d.MEMORY,
+            list_factor,
+            LIST,
+            TOO_LONG,
+        ),
+        Need("list: processor time of a start", reading, "s", READY, list_factor, LIST),
         Need("list: bytes of a start, in 10 s", whole, "B", d.WIRE * READY, list_factor, LIST),
         Need("list: time of a start at 11 kB/s", times(whole, 1 / d.WIRE), "s", READY, list_factor, LIST),
         Need(
--- a/linkdock/lab/scale/tables.py
+++ b/linkdock/lab/scale/tables.py
@@ -59,16 +59,28 @@
     return table(v.HEAD, (one.cells() for one in lines))
 
 
+PAIRS = (  # (hollow run, its figure, run to compare with, its figure)
+    *(("hollow", name, "real", name) for name in (against_real.DATAGRAMS, against_real.FRAMES, against_real.PROCESSOR)),
+    (
+        "members-sampled",
+        "wire bytes a second, sent and received",
+        "members",
+        "wire bytes a second a member, sent and received",
+    ),
+    ("members-sampled", "processor time a second", "members", "processor time a second a member"),
+)
+
+
 def against(book: Book) -> str:
-    """Hollow figures beside those of real processes, at the same sizes."""
+    """Hollow figures beside those of real processes, and one member's beside a whole mesh's, at the same sizes."""
     lines = []
-    for figure in (against_real.DATAGRAMS, against_real.FRAMES, against_real.PROCESSOR):
-        for size in sorted({row.size for row in book.rows_of("hollow", figure)}):
-            unit = _unit(book, "hollow", figure)
-            hollow, real = book.measured("hollow", figure, size), book.measured("real", figure, size)
+    for run, figure, other, its in PAIRS:
+        for size in sorted({row.size for row in book.rows_of(run, figure)}):
+            unit = _unit(book, run, figure)
+            hollow, real = book.measured(run, figure, size), book.measured(other, its, size)
             ratio = digits(hollow / real) if real else "-"
-            lines.append((figure, f"{size}", said(hollow, unit), said(real, unit), ratio))
-    return table(("figure", "processes", "hollow", "real", "hollow over real"), lines)
+            lines.append((figure, f"{size:,}", f"{run}: {said(hollow, unit)}", f"{other}: {said(real, unit)}", ratio))
+    return table(("figure", "processes", "this", "against", "ratio"), lines)
 
 
 def _not_carried(book: Book) -> list[tuple[str, v.Need]]:
