--- a/linkdock/lab/scale/listing.py
+++ b/linkdock/lab/scale/listing.py
@@ -81,12 +81,16 @@
 
 
 def measure(size: int, seed: int) -> list[Figure]:
-    """A whole list, its resident memory, and a change of a hundred rows."""
+    """A whole list, its memory, and a change of a hundred rows.
+
+    Its memory is the table's own count, by which a list is refused; what the process grew by is a figure beside it.
+    """
     desk, whole, change = Desk(), Stopwatch(), Stopwatch()
     take(Desk(), line(CHANGED, seed, True, 1), Stopwatch())  # what is made once, by the first list of all
     before = resident()
     bytes_whole = take(desk, line(size, seed, True, 1), whole)
-    memory = resident() - before
+    grown = resident() - before
+    memory = desk.roster.size()
     bytes_change = take(desk, line(min(CHANGED, size), seed + 1, False, 2), change)
 
     return [
@@ -94,6 +98,7 @@
         Figure("wire bytes a row", "B", bytes_whole / size),
         Figure("memory of the list", "B", memory),
         Figure("memory a row", "B", memory / size),
+        Figure("resident memory that the list added", "B", grown),
         Figure("processor time of a whole list", "s", whole.seconds),
         Figure("wire bytes of a change of 100 rows", "B", bytes_change),
         Figure("processor time of a change of 100 rows", "s", change.seconds),
--- a/linkdock/lab/scale/slopes.py
+++ b/linkdock/lab/scale/slopes.py
@@ -19,7 +19,11 @@
 
 
 _LINEAR, _POWER = Shape.LINEAR, Shape.POWER
-_LIST = ("wire bytes of a whole list", "memory of the list", "processor time of a whole list")
+_LIST = (
+    ("wire bytes of a whole list", _LINEAR),
+    ("memory of the list", _LINEAR),
+    ("processor time of a whole list", _POWER),
+)
 _MEMBERS = (
     "wire bytes a second a member, sent and received",
     "datagrams a second a member, sent",
@@ -58,17 +62,17 @@
     ("bytes of the entry that says who follows", _LINEAR),
 )
 _JUDGE = ("memory of all reports", "processor time to read all reports", "processor time of a judgement")
-_JOURNAL = ("bytes on disk", "memory", "processor time of a restart")
+_JOURNAL = (("bytes on disk", _LINEAR), ("memory", _LINEAR), ("processor time of a restart", _POWER))
 
 SLOPES = (
-    *(Slope("list", name, _LINEAR, design.DESTINATIONS) for name in _LIST),
+    *(Slope("list", name, shape, design.DESTINATIONS) for name, shape in _LIST),
     Slope("learned", "memory awake", _LINEAR, design.AWAKE),
     Slope("learned", "memory asleep", _LINEAR, design.DESTINATIONS),
     Slope("decisions-destinations", "processor time a message, all awake", _POWER, design.DESTINATIONS),
     Slope("decisions-destinations", "processor time a message, with sleep", _POWER, design.DESTINATIONS),
     Slope("decisions-held", "processor time a message", _LINEAR, design.BACKLOG_EACH),
     Slope("decisions-faults", "processor time a message", _LINEAR, 1000 * design.DOWN),
-    *(Slope("journal", name, _LINEAR, design.BACKLOG_EACH) for name in _JOURNAL),
+    *(Slope("journal", name, shape, design.BACKLOG_EACH) for name, shape in _JOURNAL),
     *(Slope("members", name, _POWER, design.SENDERS) for name in _MEMBERS),
     *(Slope("members-sampled", name, shape, design.SENDERS) for name, shape in _SAMPLED),
     *(Slope("members-restart", name, _POWER, design.SENDERS) for name in _RESTART),
@@ -90,7 +94,7 @@
             try:
                 self._fits[slope.run, slope.figure] = fit(slope.shape, points)
             except ValueError:
-                continue  # too few sizes, or values without a logarithm: the page says that it was not measured
+                continue  # too few sizes, or values of 0: the page says that it was not measured
 
     def rows_of(self, run: str, figure: str) -> list[Row]:
         return [row for row in self._rows if (row.run, row.figure) == (run, figure)]
--- a/linkdock/lab/scale/tables.py
+++ b/linkdock/lab/scale/tables.py
@@ -28,7 +28,8 @@
             continue
         unit, there = rows[0].unit, found.at(slope.at)
         if slope.shape is Shape.LINEAR:
-            law = f"{said(found.slope, unit)} each, ± {digits(100 * found.slope_error / abs(found.slope or 1))} %"
+            each = f"{said(found.slope, 's')} a second" if unit == "s/s" else said(found.slope, unit)
+            law = f"{each} each, ± {digits(100 * found.slope_error / abs(found.slope or 1))} %"
         else:
             law = f"n^{found.slope:.2f} ± {found.slope_error:.2f}"
         told = f"{said(there.value, unit)} ({said(max(0.0, there.low), unit)} to {said(there.high, unit)})"
