--- a/linkdock/lab/scale/control_needs.py
+++ b/linkdock/lab/scale/control_needs.py
@@ -119,10 +119,11 @@
             "membership: a death known to all",
             f.fleet("members-restart", "a death: known to all"),
             "s",
-            d.IN_FORCE,
+            None,
             f.factor("members-restart", "a death: known to all", d.SENDERS),
             MEMBERS,
             f"{MOST_MEMBERS:,} members",
+            "a larger `most_members`",
         ),
         Need(
             "judge: wire of all reports, each of 7",
--- a/linkdock/lab/scale/figures.py
+++ b/linkdock/lab/scale/figures.py
@@ -51,3 +51,15 @@
         """Of one row of the list, by the slope."""
         found = self.book.fit("list", figure)
         return found.slope if found else None
+
+    def real_beyond_hollow(self, figure: str) -> float | None:
+        """By how much a real node is over a hollow one, at the largest size that both were run at."""
+        sizes = self.both_sizes(figure)
+        if not sizes:
+            return None
+        return self.book.measured("real", figure, sizes[-1]) - self.book.measured("hollow", figure, sizes[-1])
+
+    def both_sizes(self, figure: str) -> list[int]:
+        """Sizes at which both were run, the largest last."""
+        real, hollow = ({row.size for row in self.book.rows_of(run, figure)} for run in ("real", "hollow"))
+        return sorted(real & hollow)
