--- a/linkdock/lab/order_search.py
+++ b/linkdock/lab/order_search.py
@@ -30,7 +30,7 @@
 from .order_search_finish import finish
 from .order_search_plans import PLANS, Bounds
 from .order_search_program import VirtualLoop, installed
-from .order_search_referee import Broken, Check
+from .order_search_referee import Check, RuleBrokenError
 from .order_search_shape import shape
 from .order_search_world import World
 
@@ -42,10 +42,11 @@
 class Counterexample:
     """A check that failed, and the schedule that led there."""
 
-    broken: Broken
+    broken: RuleBrokenError
     events: tuple[str, ...]
 
     def __str__(self) -> str:
+        """The failed check, and below it the events that lead there."""
         return f"{self.broken}\n    {'; '.join(self.events)}"
 
 
@@ -62,7 +63,7 @@
     counterexamples: dict[tuple[Check, str], Counterexample] = field(default_factory=dict)
 
 
-class Enough(Exception):
+class SearchLimitError(Exception):
     """A bound of the search is met, or the first counterexample where one is enough."""
 
 
@@ -79,6 +80,7 @@
         ignored: frozenset[Check] = frozenset(),
         finish_every: int = 4,
     ) -> None:
+        """`finish_every`: of so many states one is played to its end, to see that each message ends."""
         self._bounds, self._most_states, self._seconds = bounds, states, seconds
         self._fault, self._go_on, self._ignored, self._finish_every = fault, go_on, ignored, finish_every
         self._loop = VirtualLoop()
@@ -106,7 +108,7 @@
         try:
             with installed(self._loop, lambda: self._world), planted:
                 work()
-        except Enough:
+        except SearchLimitError:
             pass
         finally:
             self._loop.close()
@@ -135,11 +137,11 @@
         found.whole = True
 
     def _go_on_only_within_bounds(self) -> None:
-        """Raises Enough."""
+        """Raises SearchLimitError."""
         if time.monotonic() > self._until or self._found.states >= self._most_states:
-            raise Enough
+            raise SearchLimitError
         if self._found.counterexamples and not self._go_on:
-            raise Enough
+            raise SearchLimitError
 
     def _new_world(self) -> World:
         parent = MEMORY_FOLDER if MEMORY_FOLDER.is_dir() else None
@@ -155,7 +157,7 @@
             key, enabled = shape(world), list(world.enabled())
             if self._finish_every and key[0] % self._finish_every == 0:
                 finish(world)
-        except Broken as broken:
+        except RuleBrokenError as broken:
             self._note(Counterexample(broken, events))
             return b"", []
         finally:
@@ -181,7 +183,7 @@
                     world.apply(events[-1])
                     self._found.edges += 1
                 finish(world)
-            except Broken as broken:
+            except RuleBrokenError as broken:
                 if (broken.check, broken.kind) not in self._found.counterexamples:
                     self._note(self._shortened(Counterexample(broken, tuple(events))))
             finally:
@@ -198,7 +200,7 @@
             at -= 1
         return found
 
-    def _breaks(self, events: tuple[str, ...]) -> Broken | None:
+    def _breaks(self, events: tuple[str, ...]) -> RuleBrokenError | None:
         world = self._new_world()
         try:
             for event in events:
@@ -206,7 +208,7 @@
                     return None
                 world.apply(event)
             finish(world)
-        except Broken as broken:
+        except RuleBrokenError as broken:
             return broken
         finally:
             world.close()
@@ -222,6 +224,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command line; 1 where a counterexample was found."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--plan", choices=PLANS, action="append")
     parser.add_argument("--states", type=int, default=100_000)
--- a/linkdock/lab/order_search_faults.py
+++ b/linkdock/lab/order_search_faults.py
@@ -1,8 +1,4 @@
-"""Planted faults of the order search, by name: each is a patch of the program while a search runs.
-
-What a patch replaces and this version of the program does not have is passed over: then the fault is how it behaves
-already, or there is nothing to break.
-"""
+"""Planted faults of the order search, by name: each is a patch of the program while a search runs."""
 
 from __future__ import annotations
 
@@ -14,8 +10,9 @@
 
 from ..decisions.dispatch import Dispatch
 from ..sender.ends import Ends
+from ..sender.recovery import Recovery
+from ..sender.sender import Sender
 from ..state.journal import Journal, Kept
-from .order_search_program import Recovery, Sender, journal_of
 from .order_search_referee import Check
 
 Patch = tuple[type, str, Callable[[Any], Any]]  # where, which method, and what it becomes
@@ -33,10 +30,9 @@
     @contextmanager
     def planted(self) -> Iterator[None]:
         """The program has the fault meanwhile."""
-        before = [(owner, name, vars(owner)[name]) for owner, name, _ in self.patches if name in vars(owner)]
+        before = [(owner, name, vars(owner)[name]) for owner, name, _ in self.patches]
         for owner, name, patch in self.patches:
-            if name in vars(owner):
-                setattr(owner, name, patch(vars(owner)[name]))
+            setattr(owner, name, patch(vars(owner)[name]))
         try:
             yield
         finally:
@@ -46,7 +42,7 @@
 
 def _passes_on_at_its_end(end: Callable) -> Callable:
     def ended(self: Dispatch, message: Any) -> None:
-        getattr(self, "unsettled", {}).pop(message.id, None)
+        self.unsettled.pop(message.id, None)
         end(self, message)
 
     return ended
@@ -55,9 +51,8 @@
 def _taken_up_as_new(take_up: Callable) -> Callable:
     def taken(self: Recovery, left: Iterable[Kept]) -> None:
         left = list(left)
-        if hasattr(Journal, "stamp"):
-            for kept in left:
-                kept.taken_at = journal_of(self).stamp()
+        for kept in left:
+            kept.taken_at = self._context.journal.stamp()
         take_up(self, left)
 
     return taken
--- a/linkdock/lab/order_search_finish.py
+++ b/linkdock/lab/order_search_finish.py
@@ -13,7 +13,7 @@
 
 
 def finish(world: World) -> None:
-    """Play the rest: somebody lives, each call is answered 200, each notice 204. Raises Broken."""
+    """Play the rest: somebody lives, each call is answered 200, each notice 204. Raises RuleBrokenError."""
     for number in range(ROUNDS):
         if not world.living():
             world.apply("start")
--- a/linkdock/lab/order_search_plans.py
+++ b/linkdock/lab/order_search_plans.py
@@ -27,6 +27,8 @@
 TWO = ("start", "start")
 MET = (*TWO, "look 1")  # the older process has seen that the younger has come
 WAITING = ("take A1@1", "beat 1", "take A2@1", "beat 1")  # A2 waits behind A1, whose connection comes up
+HELD_BY_YOUNGER = ("take A1@2", "beat 2", "take A2@1", "beat 1")  # A2 waits in one process for A1 in the other
+HELD_BY_ELDER = ("take A1@1", "beat 1", "take A2@2")  # and the younger has not read of A1 yet
 PLANS: dict[str, Bounds] = {
     "one": Bounds(),
     "late": Bounds(failures=0, late=2, rests=1),
@@ -45,5 +47,9 @@
     "pair-restart": Bounds(messages=PAIR, starts=2, kills=1),
     "pair-hand-over": Bounds(messages=PAIR, begin=(*MET, *WAITING), starts=2, terms=1, failures=0, looks=1),
     "pair-unmet": Bounds(messages=PAIR, begin=TWO, starts=2, failures=0),
+    "pair-third": Bounds(
+        messages=PAIR, begin=(*MET, *HELD_BY_YOUNGER), starts=3, kills=1, failures=0, looks=1, prompt=True
+    ),
+    "pair-third-unmet": Bounds(messages=PAIR, begin=(*MET, *HELD_BY_ELDER), starts=3, kills=1, failures=0),
     "pair-upgrade": Bounds(messages=PAIR, begin=MET, starts=2, kills=1, looks=1),
 }
--- a/linkdock/lab/order_search_program.py
+++ b/linkdock/lab/order_search_program.py
@@ -24,15 +24,10 @@
 from ..protocol.calls import Call
 from ..service import run, switched
 from ..service.config import Config, check
-from ..state.journal import Journal
 from ..state.requests import Answer, Request, Taken
 from .order_search_stand_ins import Front, NoWatch, ScriptedNotices, VirtualLoop
 from .order_search_streams import MESSAGES, PROCESS, Observer, ScriptedStream
 
-Sender = run.Sender
-# The owner of what an earlier process left, under its name before and after the renaming of the sender's modules.
-Recovery = getattr(sys.modules[Sender.__module__], "Recovery", None) or sys.modules[Sender.__module__].Lives
-
 CLASS = "billing"
 DESTINATION = 1
 SERVERS = ("s1", "s2")
@@ -130,15 +125,11 @@
         logging.disable(logged)
 
 
-def journal_of(recovery: Recovery) -> Journal:
-    """The journal that what was left is taken up into."""
-    return (vars(recovery).get("_context") or recovery._b).journal
-
-
 class Program:
     """One process of the sender. `shared`: it may have a sibling on the same folder."""
 
     def __init__(self, loop: VirtualLoop, folder: Path, number: int, shared: bool) -> None:
+        """Start process `number` on the state folder."""
         self._loop, self.number = loop, number
         self._context = copy_context()
         self._context.run(PROCESS.set, number)
@@ -165,6 +156,7 @@
     # --- Events.
 
     def accepts(self) -> bool:
+        """Whether it takes new clients."""
         return self.process.frontend.accepts
 
     def ask(self, name: str, key: str, left: float, answer: Callable[[Answer], bool]) -> None:
@@ -185,6 +177,7 @@
         return isinstance(said, Taken)
 
     def beat(self) -> None:
+        """One tick of the process: its timers, then a decision pass."""
         self._run(self.process._beat)
 
     def look(self) -> None:
@@ -211,6 +204,7 @@
         return self.process._notices.owed
 
     def confirm(self, name: str) -> str:
+        """The platform answers 204 to the notice about one message; the status that it heard."""
         statuses: list[str] = []
         self._run(lambda: statuses.append(self.process._notices.confirm(name)))
         return statuses[0]
--- a/linkdock/lab/order_search_referee.py
+++ b/linkdock/lab/order_search_referee.py
@@ -27,10 +27,11 @@
     FAILED = "the program failed"
 
 
-class Broken(Exception):
+class RuleBrokenError(Exception):
     """A check failed. `kind` says in which kind of situation; two of one kind count as one find."""
 
     def __init__(self, check: Check, text: str, kind: str = "") -> None:
+        """`kind`: in which situation it failed."""
         super().__init__(f"{check.value}: {text}{kind and f' ({kind})'}")
         self.check, self.kind = check, kind
 
@@ -62,10 +63,12 @@
 
     @property
     def over(self) -> bool:
+        """Whether the next of its key may go, as far as its own end is concerned."""
         return self.delivered or bool(self.noticed) or self.heard in (Heard.NOTHING, Heard.NOT_HANDED_IN)
 
     @property
     def out(self) -> list[ScriptedStream]:
+        """Its attempts that have not ended at their servers."""
         return [one for one in self.attempts if one.state is not StreamState.ENDED]
 
     def situation(self) -> str:
@@ -75,14 +78,16 @@
 
 
 class Referee:
-    """Judges first bytes, answers and notices, but for the checks that are `ignored`. Raises Broken."""
+    """Judges first bytes, answers and notices, but for the checks that are `ignored`. Raises RuleBrokenError."""
 
     def __init__(self, messages: list[Message], ignored: frozenset[Check] = frozenset()) -> None:
+        """`ignored`: checks that are passed over."""
         self.ignored = ignored
         self.messages = {message.id: message for message in messages}
         self.handed_in: dict[str, list[Message]] = {}  # by key, in the order in which they were handed in
 
     def hand_in(self, message: Message, process: int, now: float) -> None:
+        """A client hands it in at a process."""
         message.heard, message.at, message.until = Heard.WAITS, process, now + message.left
         self.handed_in.setdefault(message.key, []).append(message)
 
@@ -92,13 +97,13 @@
             message = self.messages[name]
             who = f"{name} by process {stream.process}"
             if message.out:
-                raise Broken(Check.TWO_OUT, who)
+                raise RuleBrokenError(Check.TWO_OUT, who)
             if message.delivered or message.noticed:
-                raise Broken(Check.AFTER_END, who)
+                raise RuleBrokenError(Check.AFTER_END, who)
             if message.may_have_run:
-                raise Broken(Check.REPEATED, who)
+                raise RuleBrokenError(Check.REPEATED, who)
             if message.heard is not Heard.TAKEN:
-                raise Broken(Check.UNHEARD, who)
+                raise RuleBrokenError(Check.UNHEARD, who)
             self._turn(message, who)
             message.attempts.append(stream)
             message.may_have_run = True
@@ -108,7 +113,7 @@
         for earlier in queue[: queue.index(message)]:
             check = Check.STILL_OUT if earlier.over else Check.NOT_OVER
             if (earlier.out or not earlier.over) and check not in self.ignored:
-                raise Broken(check, f"{who}, before {earlier.id}", earlier.situation())
+                raise RuleBrokenError(check, f"{who}, before {earlier.id}", earlier.situation())
 
     def answered(self, stream: ScriptedStream, status: int, now: float) -> None:
         """A whole answer was read by the process that sent it."""
@@ -122,13 +127,13 @@
         """The platform answered 204 to a notice."""
         message = self.messages[name]
         if status == "deferred" and (message.may_have_run or message.delivered):
-            raise Broken(Check.TWO_ENDS, f"{name} may have run, and its client is told to hand it in again")
+            raise RuleBrokenError(Check.TWO_ENDS, f"{name} may have run, and its client is told to hand it in again")
         if message.noticed and message.noticed != status:
-            raise Broken(Check.TWO_ENDS, f"{name} ended as {message.noticed} and as {status}")
+            raise RuleBrokenError(Check.TWO_ENDS, f"{name} ended as {message.noticed} and as {status}")
         message.noticed = status
 
     def all_ended(self) -> None:
         """To be asked once nothing goes on any more."""
         for message in self.messages.values():
             if message.heard is Heard.TAKEN and not message.over:
-                raise Broken(Check.NO_END, message.id)
+                raise RuleBrokenError(Check.NO_END, message.id)
--- a/linkdock/lab/order_search_streams.py
+++ b/linkdock/lab/order_search_streams.py
@@ -51,6 +51,7 @@
     """One connection, and the call on it."""
 
     def __init__(self, observer: Observer) -> None:
+        """`observer` hears what becomes of it."""
         self._observer = observer
         self.process, self.messages = PROCESS.get(), MESSAGES.get(())
         self.state = StreamState.CONNECTING
@@ -64,6 +65,7 @@
     # --- What the program calls.
 
     def connect(self, dial: tuple[str, int]) -> asyncio.Future:
+        """Begin to connect; the search says how that ends."""
         self._connect = asyncio.get_running_loop().create_future()
         return self._connect
 
@@ -86,12 +88,15 @@
         return self._read
 
     def writing(self) -> bool:
+        """Whether bytes wait for the kernel: never."""
         return False
 
     def closed(self) -> bool:
+        """Whether the sender has closed it, or it broke."""
         return self._closed
 
     def close(self) -> None:
+        """The sender closes it."""
         if self._closed:
             return
         if self.state is StreamState.OUT:
--- a/linkdock/lab/order_search_world.py
+++ b/linkdock/lab/order_search_world.py
@@ -26,7 +26,7 @@
 
 from .order_search_plans import Bounds
 from .order_search_program import TICK, Program, VirtualLoop
-from .order_search_referee import Broken, Check, Heard, Message, Referee
+from .order_search_referee import Check, Heard, Message, Referee, RuleBrokenError
 from .order_search_streams import ScriptedStream, StreamState
 
 BEGIN = 1000.0  # the clock's first time, in seconds
@@ -38,11 +38,12 @@
 
 
 class World:
-    """One case under way. `apply` raises Broken; `close` gives its folder back."""
+    """One case under way. `apply` raises RuleBrokenError; `close` gives its folder back."""
 
     def __init__(
         self, loop: VirtualLoop, bounds: Bounds, parent: Path | None, ignored: frozenset[Check] = frozenset()
     ) -> None:
+        """Begin a case in a folder of its own below `parent`."""
         self.loop, self.bounds = loop, bounds
         loop.now = BEGIN
         self.folder = Path(tempfile.mkdtemp(prefix="order-", dir=parent))
@@ -52,29 +53,34 @@
         self.streams: list[ScriptedStream] = []
         self.used = dict.fromkeys(COUNTED, 0)
         self._events = 0
-        self._broken: Broken | None = None
+        self._broken: RuleBrokenError | None = None
 
     def close(self) -> None:
+        """End all processes, and remove the folder."""
         for program in self.living():
             self._kill(program)
         self.loop.clear()
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def living(self) -> list[Program]:
+        """The processes that have not ended."""
         return [program for program in self.programs if program.alive]
 
     # --- What a sender does (order_search_streams.Observer).
 
     def opened(self, stream: ScriptedStream) -> None:
+        """A sender connects to a server."""
         self.streams.append(stream)
 
     def first_byte(self, stream: ScriptedStream) -> None:
+        """A call goes out: the referee judges it."""
         try:
             self.referee.first_byte(stream)
-        except Broken as broken:  # in the middle of the program's code, which would take it for an error of its own
+        except RuleBrokenError as broken:  # the program would take it for an error of its own
             self._broken = self._broken or broken
 
     def closed(self, stream: ScriptedStream) -> None:
+        """A sender closed a connection over a call."""
         stream.closing_since = self.loop.now
 
     # --- Events.
@@ -149,7 +155,7 @@
             yield "start"
 
     def apply(self, event: str) -> None:
-        """Let one event happen, and all that follows at once. Raises Broken, ValueError for one that cannot come."""
+        """Let one event happen, and what follows at once. Raises RuleBrokenError, ValueError if it cannot come."""
         what, _, rest = event.partition(" ")
         name, _, number = rest.partition("@")
         try:
@@ -163,12 +169,12 @@
                 getattr(self, f"_{what}")(self.referee.messages[name], self.programs[int(number) - 1])
             else:
                 self._call(what, self._stream(name, int(number)))
-        except Broken:
+        except RuleBrokenError:
             raise
         except (KeyError, IndexError, ValueError, StopIteration) as bad:
             raise ValueError(f"{event} cannot come here: {bad!r}") from bad
         except Exception as bad:
-            raise Broken(Check.FAILED, f"{event}: {bad!r}") from bad
+            raise RuleBrokenError(Check.FAILED, f"{event}: {bad!r}") from bad
         self._after()
 
     def _after(self) -> None:
--- a/tests/test_order_search.py
+++ b/tests/test_order_search.py
@@ -15,6 +15,8 @@
     "pair-hand-over": 150,
     "pair-unmet": 250,
     "pair-restart": 400,
+    "pair-third": 150,
+    "pair-third-unmet": 150,
     "pair-upgrade": 250,
 }
 WALKS = {"late": 40, "stop": 40, "leaves": 40, "upgrade-late": 60, "three": 60}
