--- a/linkdock/state/journal_reader.py
+++ b/linkdock/state/journal_reader.py
@@ -137,18 +137,21 @@
     def poll(self, own: Container[str]) -> KeyChanges:
         """What has changed in all of them. `own`: the ids on record in this process's journal, which tell of them."""
         changes = KeyChanges()
-        for number, reader in list(self._readers.items()):
+        gone = []
+        for number, reader in self._readers.items():
             try:
                 found = reader.poll()
             except FileNotFoundError:
                 if number not in self._alive:
-                    self._drop(number, own, changes)
+                    gone.append(number)
                 continue
             except OSError:  # no descriptor is free, for one: read at a later poll
                 continue
             changes.held += [kept for kept in found.held if kept.id not in own]
             for request in found.ended:
                 self._ended(request, own, changes)
+        for number in gone:  # all others have been read: what was taken up from it stands there
+            self._drop(number, own, changes)
         return changes
 
     def _ended(self, request: str, own: Container[str], changes: KeyChanges) -> None:
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -269,6 +269,20 @@
     assert changed(others.poll({"aa02": 1})) == ([], ["aa01"]) and not len(others)
 
 
+def test_what_a_third_process_took_up_from_a_dead_one_has_not_ended(tmp_path):
+    old, new = journals(tmp_path, 1, 2)
+    others = OtherJournals(lambda number: tmp_path / f"journal.{number}", lambda cls: True)
+    others.follow([1, 2])
+    old.take(kept("aa01"))
+    assert changed(others.poll({})) == (["aa01"], [])
+    assert new.adopt([kept("aa01")])
+    (tmp_path / "journal.1").unlink()
+    others.follow([2])  # the reader of the dead one's journal comes first
+    assert changed(others.poll({}))[1] == []
+    new.end("aa01")
+    assert changed(others.poll({})) == ([], ["aa01"])
+
+
 def test_stamps_rise_though_the_clock_is_set_back(tmp_path, monkeypatch):
     (journal,) = journals(tmp_path, 1)
     now = iter([100.0, 50.0, 50.0, 200.0])
