--- a/linkdock/assignment/departures.py
+++ b/linkdock/assignment/departures.py
@@ -19,6 +19,7 @@
     """The proposer's memory of who is missing. Another proposer begins anew, which delays and never hastens."""
 
     def __init__(self, grace: float = GRACE) -> None:
+        """`grace`: seconds that a member has to be missing before it may leave."""
         self._grace = grace
         self._missing_since: dict[str, float] = {}
         self._proposed_at = float("-inf")
--- a/linkdock/assignment/holder.py
+++ b/linkdock/assignment/holder.py
@@ -23,6 +23,8 @@
 
 
 class TurnState(Enum):
+    """How far this member is with the turn of one shard."""
+
     CLAIMING = auto()  # asked for, not granted
     HELD = auto()
     RELEASING = auto()  # nothing is begun any more; released once no attempt is out
@@ -41,6 +43,7 @@
     """One run of a member. Whoever calls sends what is returned and brings back the answers."""
 
     def __init__(self, member: str, settings: TurnSettings, started_at: float) -> None:
+        """`started_at`: when this run began. No attempt is begun until `longest_attempt` after it."""
         self.member = member
         self.epoch = 0
         self.assigned: dict[int, int] = {}  # shards with this member's role, in the last epoch that came
@@ -65,6 +68,7 @@
         self.lease_renewed(asked_at, lease)
 
     def lease_renewed(self, asked_at: float, lease: int) -> None:
+        """`asked_at` as in `lease_opened`. A renewal of any other lease than the present one changes nothing."""
         if lease == self.lease:
             settings = self._settings
             self._until = max(self._until, asked_at + settings.ttl * (1 - settings.drift))
@@ -77,15 +81,17 @@
             self._until = float("-inf")
 
     def holds_lease(self, now: float) -> bool:
+        """Whether a lease is open and has not ended by this member's clock, the drift taken off."""
         return self.lease is not None and now < self._until
 
     def renewal(self) -> Renew | None:
+        """The renewal to send; None without a lease."""
         return None if self.lease is None else Renew(self.member, self.lease, self.epoch)
 
     # --- Epochs.
 
     def adopt(self, epoch: int, assigned: dict[int, int]) -> None:
-        """A newer epoch. Turns of shards that are this member's no more are to be released. Raises StaleMessageError."""
+        """A newer epoch. Turns of shards not among `assigned` are to be released. Raises StaleMessageError."""
         if epoch <= self.epoch:
             raise StaleMessageError(f"epoch {epoch} after {self.epoch}")
         self.epoch = epoch
@@ -147,6 +153,7 @@
             del self._turns[shard]
 
     def state(self, shard: int) -> TurnState | None:
+        """Of the turn of this shard; None if it is neither claimed nor held here."""
         turn = self._turns.get(shard)
         return turn.state if turn else None
 
--- a/linkdock/assignment/membership.py
+++ b/linkdock/assignment/membership.py
@@ -45,6 +45,7 @@
     """The members of one zone as rankings need them: by id, with their seeds, and whether all weigh the same."""
 
     def __init__(self, name: str, weight: int, members: Iterable[Member]) -> None:
+        """`members` in the order of their ids; `weight` is the zone's agreed one."""
         self.name = name
         self.weight = weight
         self.members = tuple(members)
@@ -52,6 +53,7 @@
 
     @cached_property
     def seeds(self) -> tuple[int, ...]:
+        """The hash seed of each member's id, in the order of `members`."""
         return tuple(name_seed(b"member", member.id) for member in self.members)
 
     @cached_property
@@ -61,6 +63,7 @@
 
     @cached_property
     def alike(self) -> bool:
+        """Whether all members have the same weight."""
         return len({member.weight for member in self.members}) == 1
 
 
@@ -74,6 +77,7 @@
 
     @cached_property
     def by_id(self) -> dict[str, Member]:
+        """Each member under its id."""
         return {member.id: member for member in self.members}
 
     @cached_property
--- a/linkdock/assignment/messages.py
+++ b/linkdock/assignment/messages.py
@@ -111,6 +111,7 @@
     """One run of one process: what it signs with, and the newest sequence of each peer. Bounded by MOST_PEERS."""
 
     def __init__(self, fleet: str, key: str, me: str, run: int) -> None:
+        """`key` is the fleet's secret, `me` this member's id; `run` has to be higher than that of any run before."""
         self._me = me
         self._run = run
         self._sequence = 0
@@ -127,8 +128,9 @@
         return self._digest(data) + data
 
     def decode(self, data: bytes, epoch: int) -> Envelope:
-        """Raises SpoiltMessageError, ForeignMessageError, ReplayedMessageError; StaleMessageError if it goes by an epoch before `epoch`.
+        """Raises SpoiltMessageError, ForeignMessageError, ReplayedMessageError, StaleMessageError.
 
+        Stale is what goes by an epoch before `epoch`.
         A relay, which answers those who are behind, gives 0 as the epoch.
         """
         told = self._read(data)
--- a/linkdock/assignment/pieces.py
+++ b/linkdock/assignment/pieces.py
@@ -33,7 +33,10 @@
 
 
 def epoch_of_pieces(pieces: Sequence[EpochSnapshot]) -> Membership | None:
-    """The membership, once all of its pieces are there, in any order; else None. Raises BadMembershipError for a mixture."""
+    """The membership, once all of its pieces are there, in any order; else None.
+
+    Raises BadMembershipError for a mixture.
+    """
     first = pieces[0]
     if any((one.epoch, one.pieces, one.digest) != (first.epoch, first.pieces, first.digest) for one in pieces):
         raise BadMembershipError("pieces of two memberships")
@@ -50,8 +53,8 @@
 def next_epoch(before: Membership, told: EpochChange) -> Membership:
     """The epoch that a change makes of the one in force. Raises StaleMessageError for a change that is known already.
 
-    Raises BadMembershipError where the change starts from a later epoch, or does not come to the digest that it names: the
-    whole membership is then to be asked for.
+    Raises BadMembershipError where the change starts from a later epoch, or does not come to the digest that it names:
+    the whole membership is then to be asked for.
     """
     if told.change.base < before.epoch:
         raise StaleMessageError(f"a change from epoch {told.change.base}, in force is {before.epoch}")
--- a/linkdock/assignment/placement.py
+++ b/linkdock/assignment/placement.py
@@ -66,12 +66,14 @@
     """The order of zones of every shard, filled as it is asked for; orders that are alike are one object."""
 
     def __init__(self, shapes: tuple[ZoneShape, ...], replicas: int) -> None:
+        """`shapes` in the order of `membership.zones`; `replicas` of a shard."""
         self.shapes = shapes
         self.replicas = replicas
         self._orders: list[tuple[int, ...] | None] = [None] * SHARD_COUNT
         self._distinct: dict[tuple[int, ...], tuple[int, ...]] = {}
 
     def order(self, shard: int) -> tuple[int, ...]:
+        """The zone of each replica of a shard, the primary's first, as indices into `shapes`."""
         known = self._orders[shard]
         if known is None:
             known = order_of_zones(shard, self.shapes, self.replicas)
--- a/linkdock/assignment/rows.py
+++ b/linkdock/assignment/rows.py
@@ -74,14 +74,17 @@
     """Rows by shard, of the shards that are held. What is refused changes nothing."""
 
     def __init__(self) -> None:
+        """No shard is held yet."""
         self._rows: dict[int, dict[int, Row]] = {}
         self._totals: dict[int, int] = {}
 
     @property
     def held(self) -> frozenset[int]:
+        """The shards that are held, those without rows included."""
         return frozenset(self._rows)
 
     def row(self, destination: int) -> Row | None:
+        """The row of a destination; None if it has none or its shard is not held."""
         return self._rows.get(shard_of(destination), {}).get(destination)
 
     def rows(self, shard: int) -> tuple[Row, ...]:
@@ -99,17 +102,23 @@
             self._rows[shard], self._totals[shard] = {}, 0
 
     def digest(self, shard: int) -> ShardDigest:
+        """Of the rows of one shard. Raises KeyError for a shard that is not held."""
         return ShardDigest(shard, len(self._rows[shard]), self._totals[shard])
 
     def digests(self) -> tuple[ShardDigest, ...]:
+        """Of every held shard, in the order of shards."""
         return tuple(self.digest(shard) for shard in sorted(self._rows))
 
     def part_digest(self) -> PartDigest:
+        """Of all held shards together."""
         count = sum(len(rows) for rows in self._rows.values())
         return PartDigest(len(self._rows), count, sum(self._totals.values()) & MASK)
 
     def put(self, snapshot: Snapshot) -> None:
-        """All rows of a shard. Raises DivergedRowsError if it is not of one held shard, StaleMessageError if a row is older."""
+        """All rows of a shard.
+
+        Raises DivergedRowsError if it is not of one held shard, StaleMessageError if a row is older.
+        """
         held = self._of(snapshot.shard, snapshot.rows)
         rows = {row.destination: row for row in snapshot.rows}
         if len(rows) != len(snapshot.rows):
@@ -124,7 +133,10 @@
         self._totals[snapshot.shard] = sum(map(row_hash, rows.values())) & MASK
 
     def change(self, delta: Delta) -> None:
-        """Raises DivergedRowsError where the outcome is not what the delta says: the whole shard is then to be asked for."""
+        """Raises DivergedRowsError where the outcome is not what the delta says, StaleMessageError if a row is older.
+
+        After a DivergedRowsError the whole shard is to be asked for.
+        """
         shard = delta.after.shard
         held = self._of(shard, (*delta.rows, *delta.removed))
         after, total = dict(held), self._totals[shard]
--- a/linkdock/assignment/turns.py
+++ b/linkdock/assignment/turns.py
@@ -70,6 +70,8 @@
 
 
 class NextEpoch(msgspec.Struct, frozen=True, array_like=True, tag="epoch"):
+    """The next membership is to be in force. Answered with Refused if the change does not fit the present one."""
+
     change: Change
 
 
@@ -80,6 +82,8 @@
 
 
 class Opened(msgspec.Struct, frozen=True, array_like=True, tag="opened"):
+    """`lease`: the index of the entry that opened it."""
+
     lease: int
 
 
@@ -101,6 +105,8 @@
 
 
 class Granted(msgspec.Struct, frozen=True, array_like=True, tag="granted"):
+    """The member owns the turn under `token`. `number` is the claim's, `lease` the one that it was claimed under."""
+
     shard: int
     number: int
     lease: int
@@ -136,6 +142,8 @@
 
 
 class Owner(NamedTuple):
+    """The member that owns a turn, and the token of its grant."""
+
     member: str
     token: Token
 
@@ -144,6 +152,7 @@
     """Leases of members and owners of turns. Bounded by shards, and by members and those that left within a lease."""
 
     def __init__(self, membership: Membership, placed: Callable[[int, Membership], Placement] = assign) -> None:
+        """`membership` is the first one in force; `placed` gives the replicas of a shard in an epoch."""
         self.membership = membership
         self.leases: dict[str, Lease] = {}
         self.owners: dict[int, Owner] = {}
--- a/linkdock/lab/virtual_assignment.py
+++ b/linkdock/lab/virtual_assignment.py
@@ -77,6 +77,7 @@
     """One fleet, its whole assignment, and what an event makes of it."""
 
     def __init__(self, members: int, destinations: int, zones: int, seed: int) -> None:
+        """Compute the whole assignment of a fleet drawn from `seed`; `whole_seconds` is the processor time of it."""
         self.seed = seed
         self.chance = Random(f"virtual-assignment/{seed}")
         self.epoch = made(1, fleet(members, zones, REGIONS, seed))
@@ -100,6 +101,7 @@
         return 1 + (np.diff(zones, axis=1) != 0).sum(axis=1)
 
     def event(self, change: Change) -> tuple[Moved, Membership]:
+        """What a change moves, and the membership after it. Raises BadMembershipError if the change does not fit."""
         after = changed(self.epoch, change)
         index = {member.id: at for at, member in enumerate(after.members)}
         ids = {at: index.get(member.id, -1) for at, member in enumerate(self.epoch.members)}
@@ -128,6 +130,7 @@
 
 
 def balance(world: World) -> list[Figure]:
+    """How evenly rows lie on senders and shards, and whether replicas stand in different zones."""
     rows, primaries = world.rows_of_members(world.epoch.replicas), world.rows_of_members(1)
     spread = world.distinct_zones()
     return [
@@ -144,6 +147,7 @@
 
 
 def told_moves(name: str, happened: Moved, sizes: cost.Sizes, change: Change) -> list[Figure]:
+    """What one change moves, in places and bytes, and the seconds that this takes at BUDGET_BYTES a second."""
     bytes_each = happened.rows * sizes.row + sizes.change(change)
     seconds = bytes_each.max() / BUDGET_BYTES if len(bytes_each) else 0.0
     return [
@@ -160,6 +164,7 @@
 
 
 def moves_of(world: World, sizes: cost.Sizes) -> list[Figure]:
+    """What each of the world's events moves, and whether a zone that comes back restores the assignment."""
     told = []
     for name, change in world.events():
         if change is None:
@@ -240,6 +245,7 @@
 
 
 def forced(members: int, zones: int, seed: int) -> list[Figure]:
+    """Seconds until a change is in force at all members, in each story of the model."""
     told = []
     for story in ("plain", "restarting", "relay-dead", "zone-cut"):
         times = in_force(members, zones, REGIONS, story, seed)
@@ -251,18 +257,21 @@
 
 
 def report(members: int, destinations: int, zones: int, seed: int) -> list[Figure]:
+    """All figures of one fleet size."""
     world = World(members, destinations, zones, seed)
     sizes = cost.Sizes(world.epoch, destinations)
     return [*balance(world), *moves_of(world, sizes), *costs(world, sizes, destinations), *forced(members, zones, seed)]
 
 
 def show(figures: list[Figure]) -> None:
+    """Print the figures as a table."""
     wide = max(len(figure.what) for figure in figures)
     for figure in figures:
         print(f"{figure.what:<{wide}}  {figure.value:<46}  {figure.budget:<8}  {figure.how}", flush=True)
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Print the report of one size, or of each of SIZES; returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--members", type=int, default=MEMBERS)
     parser.add_argument("--destinations", type=int, default=DESTINATIONS)
--- a/linkdock/lab/virtual_assignment_checks.py
+++ b/linkdock/lab/virtual_assignment_checks.py
@@ -85,6 +85,8 @@
 
 
 def check_turns(plan: str) -> Callable[[], str]:
+    """A check that searches a plan of PLANS, up to STATES states; it raises Broken for a property that fails."""
+
     def check() -> str:
         search = Search(replace(PLANS[plan], states=STATES))
         whole = search.run()
--- a/linkdock/lab/virtual_assignment_cost.py
+++ b/linkdock/lab/virtual_assignment_cost.py
@@ -28,6 +28,7 @@
     """Bytes of messages as the codec makes them."""
 
     def __init__(self, epoch: Membership, destinations: int) -> None:
+        """Encode one message of each kind; the membership's is that of `epoch`."""
         self._codec = Codec("fleet", "a key of sixteen", "sender-00000~0123456789abcdef", 1_700_000_000_000)
         self._epoch = epoch
         self.row = len(_encode(row(10**6, 10**9)))
@@ -44,6 +45,7 @@
         return len(self._codec.encode("sender-06799~0123456789abcdef", 10**6, body))
 
     def change(self, change: Change) -> int:
+        """Bytes of the message that tells of a change."""
         return self._size(EpochChange(change, bytes(8)))
 
 
@@ -66,6 +68,7 @@
 
 
 def processor(epoch: Membership) -> Processor:
+    """Measured for one member of `epoch`, the least of ROUNDS runs."""
     me = epoch.members[len(epoch.members) // 2]
     near = next(member for member in epoch.members if member.zone == me.zone and member.id != me.id)
     far = next(member for member in epoch.members if member.zone != me.zone)
--- a/linkdock/lab/virtual_assignment_faults.py
+++ b/linkdock/lab/virtual_assignment_faults.py
@@ -264,6 +264,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Plant the faults one by one; returns 1 if a check missed its fault. With "none", a failed check raises Broken."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--fault", choices=["none", *FAULTS])
     args = parser.parse_args(argv)
--- a/linkdock/lab/virtual_assignment_numbers.py
+++ b/linkdock/lab/virtual_assignment_numbers.py
@@ -28,6 +28,7 @@
 
 
 def seeds_of_shards(count: int) -> np.ndarray:
+    """`hashing.shard_seed` of the shards from 0 to `count` - 1, as uint64."""
     return mixed(np.arange(1, count + 1, dtype=np.uint64) * _GOLDEN)
 
 
--- a/linkdock/lab/virtual_assignment_plans.py
+++ b/linkdock/lab/virtual_assignment_plans.py
@@ -90,6 +90,7 @@
     epochs: int = 0
 
     def key(self) -> bytes:
+        """A digest of 16 bytes; states that differ only in the order of messages on their way have the same."""
         table, clock = self.table, self.clock
         holders = [
             [
@@ -135,6 +136,7 @@
 
 
 def copied_holder(holder: TurnHolder) -> TurnHolder:
+    """A copy that can be changed without changing `holder`."""
     twin = copy(holder)
     twin._turns = {shard: copy(turn) for shard, turn in holder._turns.items()}
     twin._attempts_out = dict(holder._attempts_out)
@@ -142,6 +144,7 @@
 
 
 def copied_table(table: TurnTable) -> TurnTable:
+    """A copy that can be changed without changing `table`."""
     twin = copy(table)
     twin.leases, twin.owners, twin._wanted = dict(table.leases), dict(table.owners), set(table._wanted)
     twin._shards_of = {member: set(shards) for member, shards in table._shards_of.items()}
@@ -149,6 +152,7 @@
 
 
 def copied_clock(clock: LeaseClock) -> LeaseClock:
+    """A copy that can be changed without changing `clock`."""
     twin = copy(clock)
     twin._due = dict(clock._due)
     return twin
--- a/linkdock/lab/virtual_assignment_search.py
+++ b/linkdock/lab/virtual_assignment_search.py
@@ -47,6 +47,7 @@
     """`run` raises Broken at the first state in which a property does not hold."""
 
     def __init__(self, plan: Plan) -> None:
+        """`plan` bounds what may happen and how many states are seen."""
         self.plan = plan
         self.settings = TurnSettings(TTL, DRIFT, plan.longest_attempt)
         self.states = self.edges = self.depth = 0
@@ -242,6 +243,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Search the chosen plans, or all, and print what was seen; returns 0. Raises Broken as `Search.run` does."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--states", type=int, default=200_000)
     parser.add_argument("--plan", choices=PLANS, action="append")
