--- a/tests/test_order_search.py
+++ b/tests/test_order_search.py
@@ -17,7 +17,7 @@
     "pair-restart": 400,
     "pair-third": 150,
     "pair-third-unmet": 150,
-    "pair-upgrade": 250,
+    "pair-upgrade": 900,
 }
 WALKS = {"late": 40, "stop": 40, "leaves": 40, "upgrade-late": 60, "three": 60}
 
