--- a/linkdock/console/main.py
+++ b/linkdock/console/main.py
@@ -262,7 +262,7 @@
     try:
         from ..lab.scale.command import Asked, carry_out
     except ImportError as bad:
-        raise refusal(MissingPackages("requirements-lab.txt", bad, "the laboratory")) from None
+        raise refusal(MissingPackagesError("requirements-lab.txt", bad, "the laboratory")) from None
     try:
         click.echo(
             carry_out(
--- a/linkdock/lab/scale/__main__.py
+++ b/linkdock/lab/scale/__main__.py
@@ -11,6 +11,7 @@
 
 
 def main() -> None:
+    """Measure the size that the arguments name and print its figures; beyond MEMORY_MB it ends by a MemoryError."""
     run, size, seed, memory_mb = sys.argv[1:]
     most = int(float(memory_mb) * 1e6)
     resource.setrlimit(resource.RLIMIT_AS, (most, most))  # of this process alone: a MemoryError beyond it
--- a/linkdock/lab/scale/decisions.py
+++ b/linkdock/lab/scale/decisions.py
@@ -53,6 +53,7 @@
 
 
 def server(number: int) -> Server:
+    """The backend server of a destination, by the destination's number; its name ends in that number in hex."""
     return Server(f"s-{number:08x}", ("10.0.0.1", 7000), number)
 
 
@@ -60,6 +61,7 @@
     """A sender's decisions with backend servers on a virtual clock. `down` names destinations that refuse."""
 
     def __init__(self, told: i.Settings, seed: int, destinations: int, sleeps: bool = False) -> None:
+        """`told`: the sender's settings; `sleeps`: destinations start asleep, and fall asleep again when at rest."""
         self._random, self._settings, self.destinations = Random(seed), told, destinations
         sleeper = None
         if sleeps:
@@ -80,6 +82,7 @@
         self._turn()
 
     def hand_in(self, destination: int, cls: int) -> None:
+        """Hand one message of class `cls` to the decisions, with the deadline of that class."""
         request = f"{next(self._numbers):016x}"
         self._destination_of[request] = destination
         left = self._settings.classes[cls].deadline
@@ -133,6 +136,7 @@
             heapq.heappush(self._events, (self.now + took, next(self._order), end))
 
     def forget_messages(self) -> None:
+        """Drop the driver's own map of messages, so that it does not count as memory of the decisions."""
         self._destination_of.clear()
 
 
--- a/linkdock/lab/scale/events.py
+++ b/linkdock/lab/scale/events.py
@@ -19,6 +19,7 @@
     lost: str
 
     def cells(self) -> tuple[str, ...]:
+        """Its texts as one line of the page's table, in the order of HEAD."""
         return tuple(self)
 
 
--- a/linkdock/lab/scale/figures.py
+++ b/linkdock/lab/scale/figures.py
@@ -17,10 +17,12 @@
 
 
 def times(value: float | None, by: float) -> float | None:
+    """`value * by`, or None where the value was not measured."""
     return None if value is None else value * by
 
 
 def total(*values: float | None) -> float | None:
+    """The sum, or None where any of the values was not measured."""
     return None if any(value is None for value in values) else sum(values)
 
 
@@ -28,6 +30,7 @@
     """Estimates at the size to design for, by a short name; None where nothing was measured."""
 
     def __init__(self, book: Book) -> None:
+        """`book` holds the fits and measured rows that all estimates come from."""
         self.book = book
 
     def value(self, run: str, figure: str, size: float) -> float | None:
@@ -39,12 +42,15 @@
         return None if found is None else max(0.0, found.value)
 
     def factor(self, run: str, figure: str, size: float) -> float:
+        """How far `size` is beyond the largest one run: 1 within what was run, 0 where nothing was fitted."""
         return self.book.factor(run, figure, size)
 
     def list_of(self, figure: str, rows: float = d.DESTINATIONS) -> float | None:
+        """A figure of the run `list` for so many rows of the list of destinations."""
         return self.value("list", figure, rows)
 
     def fleet(self, run: str, figure: str) -> float | None:
+        """A figure of a run at the number of senders to design for."""
         return self.value(run, figure, d.SENDERS)
 
     def row(self, figure: str) -> float | None:
--- a/linkdock/lab/scale/fits.py
+++ b/linkdock/lab/scale/fits.py
@@ -18,6 +18,8 @@
 
 
 class Shape(Enum):
+    """The law that a figure is fitted by: a straight line, or a power of the size."""
+
     LINEAR = "linear"
     POWER = "power"
 
@@ -50,6 +52,7 @@
 
     @property
     def largest(self) -> int:
+        """The largest size that was run."""
         return max(self.sizes)
 
     def factor(self, size: float) -> float:
--- a/linkdock/lab/scale/journal.py
+++ b/linkdock/lab/scale/journal.py
@@ -16,6 +16,7 @@
 
 
 def message(number: int, random: Random) -> Kept:
+    """An open message as the journal keeps it, with a body of BODY bytes for a drawn destination."""
     return Kept(f"{number:016x}", f"{number % 1000:08x}", "order", random.randrange(1_300_000), 2e9, bytes(BODY))
 
 
--- a/linkdock/lab/scale/judging.py
+++ b/linkdock/lab/scale/judging.py
@@ -24,6 +24,7 @@
 
 
 def report_of(number: int, random: Random) -> bytes:
+    """The encoded report of one sender: two ended calls for each destination and zone, a share of FAILING bad."""
     observer = Observer(f"sender-{number:04d}~1", number % ZONES)
     for destination in range(DESTINATIONS):
         observer.came(1.0, destination, 3.0)
--- a/linkdock/lab/scale/learned.py
+++ b/linkdock/lab/scale/learned.py
@@ -28,6 +28,7 @@
 
 
 def asleep(size: int) -> Store:
+    """A store that holds the facts of so many destinations asleep, one server each."""
     store = Store(CLASSES, size)
     for n in range(size):
         link = LinkFacts(n % 3 == 0, 0.0, 1.0, 40.0, 1.0, 0.05, 0.0, [(0.1, 0.0, 0.3), (0.2, 0.01, 0.5)])
--- a/linkdock/lab/scale/listing.py
+++ b/linkdock/lab/scale/listing.py
@@ -53,13 +53,16 @@
     """Takes the news as the sender does: changes into the list in force, a whole list in its place."""
 
     def __init__(self) -> None:
+        """Start with an empty list."""
         self.roster = Roster()
 
     def changed(self, servers: list, version: int | None) -> None:
+        """Put the rows of a change into the list in force."""
         for server in servers:
             self.roster.put(server)
 
     def whole(self, roster: Roster, version: int) -> None:
+        """Replace the list in force by a whole one."""
         self.roster = roster
 
 
--- a/linkdock/lab/scale/measuring.py
+++ b/linkdock/lab/scale/measuring.py
@@ -20,9 +20,11 @@
     """Adds up the processor seconds of the calls that go through it."""
 
     def __init__(self) -> None:
+        """Start at 0 seconds and 0 calls."""
         self.seconds, self.calls = 0.0, 0
 
     def run(self, call: Callable[..., T], *args: object) -> T:
+        """Call it with these arguments, count its processor time even if it raises, and return its result."""
         began = time.process_time()
         try:
             return call(*args)
@@ -61,11 +63,13 @@
     """Bytes of each datagram as it is signed, and the cost of signing and checking it, taken on every `every`th."""
 
     def __init__(self, every: int = 1) -> None:
+        """`every`: of so many datagrams one is checked, too, as its receiver would."""
         self._seal, self._every = Seal(KEY, CLUSTER, "a~1", bytes), every
         self._sealing, self._opening = Stopwatch(), Stopwatch()
         self.datagrams = self.bytes = 0
 
     def carry(self, packet: AnyPacket) -> None:
+        """Sign one datagram and count it and its bytes; every `every`th is checked as well."""
         data = self._sealing.run(self._seal.datagram, packet)
         self.datagrams, self.bytes = self.datagrams + 1, self.bytes + len(data)
         if self.datagrams % self._every == 0:
@@ -81,6 +85,7 @@
     """One connection between two processes; the bytes of each frame, and the cost at either side."""
 
     def __init__(self) -> None:
+        """Open the connection: both sides have exchanged and accepted their hellos."""
         dialling, accepting = Seal(KEY, CLUSTER, "sender-0001~a", bytes), Seal(KEY, CLUSTER, "sender-0002~b", bytes)
         self._from, self._to = dialling.dial("sender-0002~b"), accepting.accept()
         self._to.greeted(self._from.hello()[4:])
--- a/linkdock/lab/scale/members_mesh.py
+++ b/linkdock/lab/scale/members_mesh.py
@@ -27,7 +27,7 @@
 RESTARTED = 0.01  # share of the members
 
 
-class NotSettled(Exception):
+class NotSettledError(Exception):
     """What was waited for did not come about within PATIENCE."""
 
 
@@ -35,6 +35,7 @@
     """A standing fleet in ten zones whose members know one another."""
 
     def __init__(self, seed: int, size: int) -> None:
+        """`size` members, all running and each with a full table; `seed` draws all that is random."""
         super().__init__(seed, size, MembersSettings(most_members=max(1024, 2 * size)))
         self.codec = DatagramCodec(OPENED)
         for process in self.all:
@@ -87,11 +88,11 @@
         ]
 
     def until(self, done: Callable[[], bool], what: str) -> float:
-        """Seconds until `done()`. Raises NotSettled that says what was waited for."""
+        """Seconds until `done()`. Raises NotSettledError that says what was waited for."""
         began = self.now
         while not done():
             if self.now - began > PATIENCE:
-                raise NotSettled(f"{what}: not after {PATIENCE:.0f} s")
+                raise NotSettledError(f"{what}: not after {PATIENCE:.0f} s")
             self.run(self.now + STEP)
         return self.now - began
 
@@ -133,7 +134,7 @@
         if all(told):
             all_know = mesh.now - began
         elif mesh.now - began > PATIENCE:
-            raise NotSettled("the restarted ones are not known to all")
+            raise NotSettledError("the restarted ones are not known to all")
         else:
             mesh.run(mesh.now + STEP)
     bytes_each = (mesh.codec.bytes - bytes_before) / size
--- a/linkdock/lab/scale/members_sampled.py
+++ b/linkdock/lab/scale/members_sampled.py
@@ -27,6 +27,7 @@
 
 
 def peer(number: int) -> Peer:
+    """The member of that number, in one of ten zones; the number can be read from its name."""
     zone = number % ZONES
     host = f"10.{zone}.{number >> 8}.{number & 255}"
     return Peer(f"sender-{number:04d}~{LIFE + number}", f"zone-{zone}", f"region-{zone % 3}", host, 7000)
@@ -46,6 +47,7 @@
     """One member and the stand-ins round it; `step` goes on to whatever is next."""
 
     def __init__(self, size: int, seed: int, machine: Swim, seeds: list[str]) -> None:
+        """`machine` is the measured member, in a fleet of `size`; it joins by the addresses in `seeds`."""
         self.random, self.size, self.machine = Random(seed), size, machine
         self.settings = machine.settings
         self.codec, self.seconds, self.now = DatagramCodec(), 0.0, 0.0
@@ -108,6 +110,7 @@
         self._call(lambda: self.machine.receive(self.now, packet))
 
     def run(self, until: float) -> None:
+        """Go on until the virtual clock is at `until`, in seconds."""
         while self.now < until:
             self._step()
 
--- a/linkdock/lab/scale/replication.py
+++ b/linkdock/lab/scale/replication.py
@@ -35,12 +35,14 @@
     """One process's log; `seconds` is what it computed."""
 
     def __init__(self, number: int, config: Config, seed: int) -> None:
+        """The process of that number in `config`, voters counted first, with an empty log."""
         self.id, self.zone = (*config.voters, *config.learners)[number], number % ZONES
         self.core = Core(self.id, Stored(image=Image(0, 0, config, b"")), SETTINGS, seed, 0.0)
         self.seconds, self.due, self.turning = 0.0, 0.0, False
 
 
 def config_of(senders: int, voters: int) -> Config:
+    """A configuration of so many voters, and one learner for each sender."""
     names = [f"sender-{n:04d}~{LIFE + n}" for n in range(voters + senders)]
     return Config(tuple(names[:voters]), tuple(names[voters:]))
 
@@ -49,6 +51,7 @@
     """Voters first, then a learner for each sender. `leader` is the first voter until `elect` has found who leads."""
 
     def __init__(self, senders: int, seed: int, voters: int = VOTERS) -> None:
+        """All processes of the fleet at time 0, with nobody leading yet."""
         self.random, self.now, self.voters = Random(seed), 0.0, voters
         self.config = config_of(senders, voters)
         self.replicas = [Replica(n, self.config, seed + n) for n in range(voters + senders)]
@@ -119,6 +122,7 @@
         self.run(self.now + SETTLED)
 
     def run(self, until: float) -> None:
+        """Go on until the virtual clock is at `until`, in seconds."""
         while self._events[0][0] <= until:
             at, _, one, what = heapq.heappop(self._events)
             self.now = max(self.now, at)
--- a/linkdock/lab/scale/slopes.py
+++ b/linkdock/lab/scale/slopes.py
@@ -87,6 +87,7 @@
     """The fits of all results. What was not measured at enough sizes is not there."""
 
     def __init__(self, rows: list[Row]) -> None:
+        """Fit every figure of SLOPES that `rows` have enough sizes of."""
         self._rows = rows
         self._fits: dict[tuple[str, str], Fit] = {}
         for slope in SLOPES:
@@ -97,6 +98,7 @@
                 continue  # too few sizes, or values of 0: the page says that it was not measured
 
     def rows_of(self, run: str, figure: str) -> list[Row]:
+        """The measured rows of one figure of a run."""
         return [row for row in self._rows if (row.run, row.figure) == (run, figure)]
 
     def runs(self) -> list[Row]:
@@ -104,6 +106,7 @@
         return list({row.run: row for row in self._rows}.values())
 
     def fit(self, run: str, figure: str) -> Fit | None:
+        """The fit of a figure, None where there is none."""
         return self._fits.get((run, figure))
 
     def at(self, run: str, figure: str, size: float) -> Estimate | None:
--- a/linkdock/lab/scale/tables.py
+++ b/linkdock/lab/scale/tables.py
@@ -57,6 +57,7 @@
 
 
 def needs(lines: list[v.Need]) -> str:
+    """The needs of one role as a table."""
     return table(v.HEAD, (one.cells() for one in lines))
 
 
--- a/linkdock/lab/scale/verdicts.py
+++ b/linkdock/lab/scale/verdicts.py
@@ -9,6 +9,8 @@
 
 
 class Verdict(Enum):
+    """Whether today's program carries a need; the value is the page's wording."""
+
     CARRIES = "carries"
     WITH_CHANGE = "carries with change"
     DOES_NOT = "does not carry"
@@ -36,6 +38,7 @@
 
     @property
     def verdict(self) -> Verdict:
+        """The figure held against its budget and the program's own bounds."""
         if self.figure is None:
             return Verdict.NOT_MEASURED
         if self.budget is None:
