--- a/linkdock/service/shift.py
+++ b/linkdock/service/shift.py
@@ -10,7 +10,6 @@
 import json
 import logging
 import os
-import time
 from collections.abc import Callable
 from math import inf
 from typing import TYPE_CHECKING
@@ -21,7 +20,7 @@
 from ..state.board import Board, Fact, Reader
 from ..state.journal import Journal, Kept, owed
 from ..state.journal_reader import OtherJournals
-from ..state.succession import Left, Succession
+from ..state.succession import Left, Succession, numbered
 from ..state.table import ServerTable
 
 if TYPE_CHECKING:
@@ -33,7 +32,6 @@
 # Parts of the folder for the journal's file and for what is owed. Danger: two files, the new one of a rewrite, and what
 # a survivor takes over must fit together.
 ALONE_PARTS, ELDER_PARTS, YOUNGER_PARTS = (0.40, 0.25), (0.40, 0.25), (0.30, 0.20)
-COARSE_CLOCK_NS = 20_000_000  # within which two changes of a folder may have one time
 # Servers of which a newer process is told what was learned.
 MOST_LEARNED = 2000
 
@@ -48,7 +46,7 @@
         self._board = Board(self._succession.board(self._succession.number))
         self._others: dict[int, Reader | None] = {}
         self._journals = OtherJournals(lambda number: config.state / f"journal.{number}", self._is_ordered)
-        self._folder_changed_at: int | None = None  # when the folder had changed at the last look, in nanoseconds
+        self._numbers: list[int] | None = None  # in use at the last look; none before the first
         self._ordered = any(cls.in_order for cls in config.settings.classes)
         self._state = notes.STARTING
         self._handed, self._batches = False, 0
@@ -88,7 +86,7 @@
         if self._handed:
             return  # Danger: what was handed over would be taken up again
         try:
-            self._folder_changed_at = os.stat(self._config.state).st_mtime_ns
+            self._numbers = numbered(self._config.state)
             alive, left = self._succession.look()
         except OSError as bad:  # no descriptor for the look: it is made again, and SIGTERM must go on without it
             log.warning("who else lives is not known: %s", bad)
@@ -192,7 +190,7 @@
         """Once a tick, before the decisions' pass."""
         # Also alone: who comes reads it before this process has seen that somebody came.
         self._board.figures(notes.Figures(self._sender.calls_out(), self._sender.open(), self._state))
-        if self._ordered and self._folder_may_have_changed():
+        if self._ordered and not self._handed and self._numbers_changed():
             self.look()  # a process that has just begun may have taken what goes before the messages here
         if len(self._journals):
             self._follow_keys()
@@ -205,18 +203,17 @@
                 calls, opened = calls + reader.figures.calls, opened + reader.figures.open
         self._together(calls, opened)
 
-    def _folder_may_have_changed(self) -> bool:
-        """Whether a file has come or gone since the last look, which every start and every end of a process does.
+    def _numbers_changed(self) -> bool:
+        """Whether a process has begun, or the files of one have gone, since the last look.
 
-        The file system's clock is coarse: what changed right before the last look may have changed again since.
+        Before the first look not all is up: that comes after what is owed was taken up.
         """
-        if self._folder_changed_at is None:
-            return False  # not all is up yet: the first look comes after what is owed was taken up
+        if self._numbers is None:
+            return False
         try:
-            changed_at = os.stat(self._config.state).st_mtime_ns
+            return numbered(self._config.state) != self._numbers
         except OSError:
             return False
-        return changed_at != self._folder_changed_at or time.time_ns() - changed_at < COARSE_CLOCK_NS
 
     def _follow_keys(self) -> None:
         """Before the decisions' pass: what other processes took on earlier must be known to it."""
