--- /dev/null
+++ b/linkdock/protocol/batches.py
@@ -0,0 +1,39 @@
+"""The body of a call with several messages, and of the answer to it (JSON; PROTOCOL, `POST /v1/messages:batch`)."""
+
+from __future__ import annotations
+
+import base64
+import json
+from collections.abc import Iterable
+
+from ..facade import DELIVERED, ERROR, NOT_SENT, TURNED_AWAY
+from ..state.requests import Request
+from . import http
+
+# How a message ended, by the word that the server uses for it.
+OUTCOMES = {"done": DELIVERED, "failed": ERROR, "busy": TURNED_AWAY, "void": NOT_SENT, "used_up": NOT_SENT}
+
+
+def encode(requests: Iterable[Request]) -> bytes:
+    """The body of the call."""
+    return json.dumps(
+        [
+            {"id": one.id, "key": one.idempotency_key or one.key, "body": base64.b64encode(one.body).decode()}
+            for one in requests
+        ],
+        separators=(",", ":"),
+    ).encode()
+
+
+def decode(body: bytes) -> dict[str, str]:
+    """The state of each message by its id. Raises BadAnswer where the whole cannot be read, or names an id twice."""
+    try:
+        lines = json.loads(body)
+        if not isinstance(lines, list) or not all(OUTCOMES[line["state"]] for line in lines):
+            raise http.BadAnswer("no list of states")
+        states = {str(line["id"]): line["state"] for line in lines}
+        if len(states) < len(lines):
+            raise http.BadAnswer("an id stands there twice")
+    except (ValueError, TypeError, KeyError, RecursionError) as bad:
+        raise http.BadAnswer(f"batch answer: {bad}") from None
+    return states
--- a/linkdock/protocol/calls.py
+++ b/linkdock/protocol/calls.py
@@ -2,30 +2,24 @@
 
 from __future__ import annotations
 
-import base64
-import json
 import logging
 from asyncio import Future
-from collections.abc import Callable
 from math import inf
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING
 
 from tornado.iostream import StreamClosedError
 
-from ..connections.pool import BUFFER, Connection, ConnectionPool, PoolFull
+from ..connections.pool import BUFFER, Connection, PoolFull
 from ..errors import log_line
-from ..facade import CANCELLED, DELIVERED, ERROR, NOT_CONNECTED, NOT_SENT, RESET, TIMED_OUT, TURNED_AWAY, Item
+from ..facade import CANCELLED, DELIVERED, ERROR, NOT_CONNECTED, NOT_SENT, RESET, TIMED_OUT, TURNED_AWAY
 from ..facade import Dispatch as Order
 from ..state.requests import Request
-from ..state.table import ServerTable
-from ..state.wheel import Wheel
 from ..streams import silent
-from . import http
+from . import batches, http
+from .backend import Backend
 
 if TYPE_CHECKING:
-    from ..connections.kept import Asked, KeptPool
-    from ..records.observer import Observer
-    from ..state.figures import Figures
+    from ..connections.kept import Asked
 
 log = logging.getLogger(__name__)
 
@@ -35,77 +29,13 @@
 NO_ROOM_PAUSE = 0.05  # seconds until a connection is tried again that there was no room for
 REST_OF_ANSWER = 0.5  # seconds that an answer may take from its first byte to its last
 CLOSED = 0.1  # seconds until a server has surely met the close of a connection
-STATES = {"done": DELIVERED, "failed": ERROR, "busy": TURNED_AWAY, "void": NOT_SENT, "used_up": NOT_SENT}
-
-
-class Desk(Protocol):
-    """What a call needs of its owner."""
-
-    def may_go(self, server: str, item: Item) -> bool:
-        """Asked right before the first byte goes out; a yes is on record."""
-
-    def ended(
-        self,
-        server: str,
-        item: Item,
-        how: str,
-        elapsed: float,
-        wait: float = 0.0,
-        load: tuple[float, float] | None = None,
-        over: bool = False,
-        owed: bool = False,
-        due: float = inf,
-        read: str = "",
-        tried: bool = True,
-    ) -> None:
-        """An item has its outcome; `over` where the request is over, `owed` where its end is still owed.
-
-        `due` is when the first of those that shared its call ran out of time, on the loop's clock; `read` says for
-        the record what came back, `tried` whether it counts as one of its attempts.
-        """
-
-    def repeatable(self, request: Request) -> bool:
-        """Whether it may be sent again though it may have run."""
-
-    def call_began(self, request: str) -> None:
-        """The first byte of a call with this request of an ordered class is about to be written."""
-
-    def call_over(self, request: str) -> None:
-        """That call cannot be running any more: its server has answered all of it, or has met its end."""
-
-    def delivered_late(self, request: str, due: float) -> None:
-        """An item that had been given up was delivered all the same."""
-
-
-class Backend:
-    """What all calls share."""
-
-    def __init__(
-        self,
-        desk: Desk,
-        table: ServerTable,
-        pool: ConnectionPool,
-        wheel: Wheel,
-        clock: Callable[[], float],
-        connect_timeout: float,
-        fields: list[str],
-    ) -> None:
-        self.desk, self.table, self.pool, self.wheel, self.clock = desk, table, pool, wheel, clock
-        self.connect_timeout, self.fields = connect_timeout, fields
-        self.kept: KeptPool | None = None  # the pool, where the keeper is on
-        self.observer: Observer | None = None  # of the records, where they are on
-        self.figures: Figures | None = None  # where there are operators
-
-    def load(self, headers: dict[str, str]) -> tuple[float, float] | None:
-        """The load report of an answer, if it carries one that can be read."""
-        return http.load_report(headers, self.fields)
 
 
 class Call:
     """One dispatch. It owns its connection while it runs, and ends each of its items once."""
 
     def __init__(self, backend: Backend, order: Order, requests: list[Request]) -> None:
-        self._b, self.server, self._row = backend, order.server, backend.table.row(order.server)
+        self._backend, self.server, self._row = backend, order.server, backend.table.row(order.server)
         self._requests = {r.id: r for r in requests}
         self.items = {item.request: item for item in order.items}  # without an outcome yet
         self._began, self._given_up = backend.clock(), set()  # the latter: items given up, for a late answer
@@ -151,18 +81,18 @@
     def _end(self, request: str, how: str, **more) -> None:
         item = self.items.pop(request, None)
         if item is not None:
-            if how == DELIVERED and self._b.clock() - self._began > item.limit:
+            if how == DELIVERED and self._backend.clock() - self._began > item.limit:
                 how = TIMED_OUT  # Danger: after its time an answer delivers nothing, even before the timer
             if how in (RESET, TIMED_OUT):
                 # Danger: a machine that is gone or cut off leaves its connections open and silent, and resets
                 # them once it is back, with whatever was written. Costs a new one where the server was slow.
-                self._b.pool.retire(self.server)
+                self._backend.pool.retire(self.server)
             self._timers.pop(request).cancel()
             if how == DELIVERED:
                 more["due"] = self._due
-            if self._b.observer is not None:
+            if self._backend.observer is not None:
                 more["read"] = self._parser.so_far()
-            self._b.desk.ended(self.server, item, how, self._b.clock() - self._began, **more)
+            self._backend.owner.ended(self.server, item, how, self._backend.clock() - self._began, **more)
 
     def _end_all(self, how: str, **more) -> None:
         for request in list(self.items):
@@ -178,7 +108,7 @@
         if self._connection is not None:
             self._connection.stream.close()  # the one way to take a call back; it frees the slot
         elif self._asked is not None:
-            self._b.kept.give_up(self._asked)
+            self._backend.kept.give_up(self._asked)
 
     def cancel(self, request: str) -> None:
         """Stop waiting for one item."""
@@ -186,7 +116,7 @@
 
     def _late(self, request: str) -> None:
         how = TIMED_OUT if self._sent else NOT_SENT if self._short else NOT_CONNECTED
-        if self._connection is None and self._asked is not None and self._b.kept.serves(self.server):
+        if self._connection is None and self._asked is not None and self._backend.kept.serves(self.server):
             how = NOT_SENT  # it waited for a connection to come free, and others were served
         self._give_up(request, how)
 
@@ -204,15 +134,15 @@
             if self._spoilt:  # else by the other side, or by giving up
                 log.warning("backend server %s: an answer without end", self.server)
                 how = await self._closed()
-            elif self._writing is not None and self.items and not self._parser.read and self._b.kept is not None:
-                self._b.kept.used(self._connection, False)  # given up by nobody here, and nothing came on it
+            elif self._writing is not None and self.items and not self._parser.read and self._backend.kept is not None:
+                self._backend.kept.used(self._connection, False)  # given up by nobody here, and nothing came on it
         except http.BadAnswer as bad:
             log.warning("backend server %s: %s", self.server, log_line(bad))
             how = await self._closed()
         finally:
             self._end_all(DELIVERED if self._told else how or (RESET if self._sent else NOT_CONNECTED))
             if self._connection is not None:
-                pool = self._b.pool
+                pool = self._backend.pool
                 (pool.give_back if reusable else pool.discard)(self._connection)
             self._let_go()
 
@@ -224,10 +154,10 @@
 
         def over() -> None:
             for request in carried:
-                self._b.desk.call_over(request)
+                self._backend.owner.call_over(request)
 
         if self._sent and not self._answered:
-            self._b.wheel.after(CLOSED, over)  # the server has not met the close of the connection yet
+            self._backend.wheel.after(CLOSED, over)  # the server has not met the close of the connection yet
         else:
             over()
 
@@ -236,17 +166,17 @@
         self._connection.stream.close()
         if not self._ordered:
             return ERROR
-        await self._b.wheel.pause(CLOSED)
+        await self._backend.wheel.pause(CLOSED)
         return RESET  # it may be running still
 
     async def _exchange(self) -> bool:
         if self._row is None:  # gone since the decisions chose it
             self._end_all(NOT_SENT)
             return False
-        await (self._connect() if self._b.kept is None else self._ask())
-        b = self._b
+        await (self._connect() if self._backend.kept is None else self._ask())
+        backend = self._backend
         if not self.items:
-            return b.kept is not None  # the keeper's lies untouched; else it was closed to give the call up
+            return backend.kept is not None  # the keeper's lies untouched; else it was closed to give the call up
         stream, size = self._connection.stream, 0
         for request, item in list(self.items.items()):
             # Danger: while the connection came up a wait, a drain or an end may have been told. And a batch
@@ -254,41 +184,41 @@
             room = len(self._requests[request].body) * 4 // 3 + ROOM_OF_ONE
             if size and size + room > MOST_BODY:
                 self._end(request, NOT_SENT, tried=False)
-            elif not b.desk.may_go(self.server, item):
+            elif not backend.owner.may_go(self.server, item):
                 # With what is left of a wait, which another process of this sender may have been told.
-                self._end(request, NOT_SENT, wait=b.table.waits(self.server, b.clock()))
+                self._end(request, NOT_SENT, wait=backend.table.waits(self.server, backend.clock()))
             else:
                 size += room
         if not self.items:
             return True
         self._carried = [request for request in self.items if self._requests[request].ordered]
         for request in self._carried:
-            b.desk.call_began(request)
-        self._fresh = self._connection.first is None or b.kept is not None and self._connection.age < 0
-        self._written_at, count = b.clock(), len(self.items)
+            backend.owner.call_began(request)
+        self._fresh = self._connection.first is None or backend.kept is not None and self._connection.age < 0
+        self._written_at, count = backend.clock(), len(self.items)
         self._writing = stream.write(self._encode())
         await self._writing
-        if b.figures is not None:
-            b.figures.relayed += count
-        if b.observer is not None:
-            b.observer.written(self.server, self.items, self._fresh)
+        if backend.figures is not None:
+            backend.figures.relayed += count
+        if backend.observer is not None:
+            backend.observer.written(self.server, self.items, self._fresh)
         return await self._answer()
 
     async def _connect(self) -> None:
         """A kept connection that is alive and silent, or a new one."""
-        b, dial = self._b, self._row.dial
-        self._connection = b.pool.take(self.server, dial)
-        while self._connection is not None and (rest := self._connection.rested_at - b.wheel.now) > 0:
+        backend, dial = self._backend, self._row.dial
+        self._connection = backend.pool.take(self.server, dial)
+        while self._connection is not None and (rest := self._connection.rested_at - backend.wheel.now) > 0:
             # Danger: what still comes behind the last answer would pass for the answer to this call.
-            await b.wheel.pause(rest)
+            await backend.wheel.pause(rest)
             if silent(self._connection.stream, self._connection.first):
                 break
-            b.pool.discard(self._connection)
-            self._connection = b.pool.take(self.server, dial)
+            backend.pool.discard(self._connection)
+            self._connection = backend.pool.take(self.server, dial)
         if self._connection is None and self.items:
             self._connection = await self._open(dial)
             stream = self._connection.stream
-            timer = b.wheel.after(b.connect_timeout, stream.close)
+            timer = backend.wheel.after(backend.connect_timeout, stream.close)
             try:
                 await stream.connect(dial)
             finally:
@@ -300,33 +230,33 @@
         Danger: descriptors that have run out. A call that failed at once would go through its requests' attempts in no
         time, and they would be lost for what is no fault of any server.
         """
-        b, until = self._b, self._b.wheel.now + self._b.connect_timeout
+        backend, until = self._backend, self._backend.wheel.now + self._backend.connect_timeout
         while True:
             try:
-                return b.pool.open(self.server, self._row.kind, dial)
+                return backend.pool.open(self.server, self._row.kind, dial)
             except PoolFull:
-                if b.wheel.now >= until:
+                if backend.wheel.now >= until:
                     raise
             self._short = True
-            await b.wheel.pause(NO_ROOM_PAUSE)
+            await backend.wheel.pause(NO_ROOM_PAUSE)
             if not self.items:
                 raise PoolFull("given up")
             self._short = False
 
     async def _ask(self) -> None:
         """The keeper's: one that it trusts for what is to be sent, or the first that comes free or comes up."""
-        careful = not all(self._b.desk.repeatable(request) for request in self._requests.values())
+        careful = not all(self._backend.owner.repeatable(request) for request in self._requests.values())
         while self._connection is None:
-            self._asked = self._b.kept.ask(self.server, self._row.kind, self._row.dial, careful)
+            self._asked = self._backend.kept.ask(self.server, self._row.kind, self._row.dial, careful)
             connection = await self._asked.got
             # Danger: a turn of the loop after the keeper's look. Its server may have closed it, or spoken, since.
             if silent(connection.stream, connection.first) or not self.items:
                 self._connection = connection
             else:
-                self._b.kept.discard(connection)
+                self._backend.kept.discard(connection)
 
     def _encode(self) -> bytes:
-        left = max(item.limit for item in self.items.values()) - (self._b.clock() - self._began)
+        left = max(item.limit for item in self.items.values()) - (self._backend.clock() - self._began)
         headers = {"X-Expires-In": f"{max(left, 0.001):.3f}"}
         dial = self._connection.dial
         requests = [self._requests[r] for r in self.items]
@@ -336,14 +266,7 @@
             headers |= {"Idempotency-Key": key} if key else {}
             return http.request("POST", "/v1/messages", dial, headers, requests[0].body)
         headers["Content-Type"] = "application/json"
-        body = json.dumps(
-            [
-                {"id": r.id, "key": r.idempotency_key or r.key, "body": base64.b64encode(r.body).decode()}
-                for r in requests
-            ],
-            separators=(",", ":"),
-        ).encode()
-        return http.request("POST", "/v1/messages:batch", dial, headers, body)
+        return http.request("POST", "/v1/messages:batch", dial, headers, batches.encode(requests))
 
     async def _answer(self) -> bool:
         """Read the answer, and return whether its connection can carry another call.
@@ -364,8 +287,8 @@
                     if not parts:
                         raise
                 else:
-                    if not parser.read and self._b.kept is not None:
-                        self._b.kept.used(connection, True, self._b.clock() - self._written_at)
+                    if not parser.read and self._backend.kept is not None:
+                        self._backend.kept.used(connection, True, self._backend.clock() - self._written_at)
                     parts = parser.feed(data)
                 for part in parts:
                     if isinstance(part, http.Head):
@@ -384,7 +307,7 @@
                     timer.cancel()  # what had begun was a 1xx answer in pieces, and the one to the call is to come
                     timer = None
                 elif timer is None and parser.begun:
-                    timer = self._b.wheel.after(REST_OF_ANSWER, self._without_end)
+                    timer = self._backend.wheel.after(REST_OF_ANSWER, self._without_end)
         finally:
             if timer is not None:
                 timer.cancel()
@@ -397,10 +320,10 @@
         """What every answer may tell besides its outcome: a wait and a load report."""
         wait = http.number(head.headers.get("retry-after", "")) or 0.0
         if wait:
-            route = self._b.table.told_wait(self._row, self._b.clock() + wait)
-            if self._b.observer is not None:
-                self._b.observer.wait(self.server, route, wait)
-        return {"wait": wait, "load": self._b.load(head.headers)}
+            route = self._backend.table.told_wait(self._row, self._backend.clock() + wait)
+            if self._backend.observer is not None:
+                self._backend.observer.wait(self.server, route, wait)
+        return {"wait": wait, "load": self._backend.load(head.headers)}
 
     def _judge(self, head: http.Head, body: bytes) -> None:
         """The protocol's table: one answer, and the outcome of every item in the call."""
@@ -423,8 +346,8 @@
                     # Danger: all its connections are taken, idle ones of others hold them, and a slower pace alone
                     # would never free any. With a report it is about the call.
                     how, self._began = NOT_CONNECTED, self._written_at  # how long the dial took says nothing of it
-                if self._b.kept is not None:
-                    self._b.kept.told_full(self._connection, self._b.clock() - self._written_at)
+                if self._backend.kept is not None:
+                    self._backend.kept.told_full(self._connection, self._backend.clock() - self._written_at)
             case 410:
                 how, more["over"] = NOT_SENT, True
             case 504:
@@ -442,24 +365,22 @@
         self._end_all(how, **more)
 
     def _judge_batch(self, body: bytes, more: dict) -> None:
-        states = {}
         try:
-            lines = json.loads(body)
-            if (
-                not isinstance(lines, list)
-                or not all(STATES[line["state"]] for line in lines)
-                or (len({str(line["id"]) for line in lines}) < len(lines))
-            ):
-                raise http.BadAnswer("no list of states, one for each id")
-            states = {str(line["id"]): line["state"] for line in lines}
-        except (ValueError, TypeError, KeyError, RecursionError) as bad:
-            # Danger: any JSON may come. An item without a state that can be read may have run.
-            log.warning("backend server %s: %s", self.server, log_line(http.BadAnswer(f"batch answer: {bad}")))
+            states = batches.decode(body)
+        except http.BadAnswer as bad:
+            # An item without a state that can be read may have run.
+            log.warning("backend server %s: %s", self.server, log_line(bad))
+            states = {}
         for request in list(self.items):
             state = states.get(request)
+            how = batches.OUTCOMES.get(state, ERROR)
             self._end(
-                request, STATES.get(state, ERROR), **more, over=state in ("void", "used_up"), owed=state == "used_up"
+                request,
+                how,
+                **more,
+                over=state in ("void", "used_up"),
+                owed=state == "used_up",
             )
         for request in self._given_up:
             if states.get(request) == "done":
-                self._b.desk.delivered_late(request, self._due)
+                self._backend.owner.delivered_late(request, self._due)
--- a/linkdock/sender/sender.py
+++ b/linkdock/sender/sender.py
@@ -29,7 +29,8 @@
     Withdraw,
 )
 from ..interface import Effect
-from ..protocol.calls import Backend, Call
+from ..protocol.backend import Backend
+from ..protocol.calls import Call
 from ..state.journal import Kept
 from ..state.requests import Answer, Busy, Failed, Refused, Request, Taken
 from ..state.roster import Roster
@@ -345,7 +346,7 @@
         self._context.facade.report(Withdraw(request.id))
         return True
 
-    # --- What calls say (protocol.calls.Desk).
+    # --- What calls say (protocol.backend.CallOwner).
 
     def may_go(self, server: str, item: Item) -> bool:
         """The last look before the first byte goes out, and the record that it does."""
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -16,7 +16,7 @@
 from ..errors import LinkdockError, exit_line, log_line
 from ..facade import Facade, Table
 from ..options import switched_on
-from ..protocol.calls import Backend
+from ..protocol.backend import Backend
 from ..protocol.discovery import Watch, read_news
 from ..protocol.frontend import Frontend
 from ..protocol.listening import BACKLOG, inherited
--- a/tests/test_races_endpoints.py
+++ b/tests/test_races_endpoints.py
@@ -25,7 +25,8 @@
     Item,
     Server,
 )
-from linkdock.protocol.calls import Backend, Call
+from linkdock.protocol.backend import Backend
+from linkdock.protocol.calls import Call
 from linkdock.state.requests import Request
 from linkdock.state.table import ServerTable
 from linkdock.state.wheel import Wheel
--- a/tests/test_races_windows.py
+++ b/tests/test_races_windows.py
@@ -6,7 +6,7 @@
 
 from linkdock.facade import ERROR, NOT_CONNECTED, Facade, Item, Server, Table
 from linkdock.interface import DestinationKind, Effect, MessageClass, Settings
-from linkdock.protocol.calls import Backend
+from linkdock.protocol.backend import Backend
 from linkdock.sender.context import SenderContext
 from linkdock.sender.sender import Sender
 from linkdock.state.journal import Journal
--- a/tests/test_scarce_connections.py
+++ b/tests/test_scarce_connections.py
@@ -6,7 +6,8 @@
 
 from linkdock.connections.pool import ConnectionPool
 from linkdock.facade import NOT_CONNECTED, NOT_SENT, TURNED_AWAY, Dispatch, Item, Server
-from linkdock.protocol.calls import Backend, Call
+from linkdock.protocol.backend import Backend
+from linkdock.protocol.calls import Call
 from linkdock.state.requests import Request
 from linkdock.state.table import ServerTable
 from linkdock.state.wheel import Wheel
--- a/tests/test_two_configurations.py
+++ b/tests/test_two_configurations.py
@@ -392,7 +392,7 @@
     "linkdock.sender.ends.ENDS": "an end, as figures call it",
     "linkdock.dormancy.sleeper.STATES": "a state in words",
     "linkdock.protocol.admin.CALLS": "operators' words and their methods",
-    "linkdock.protocol.calls.STATES": "a batch's words for ends",
+    "linkdock.protocol.batches.OUTCOMES": "a batch's words for ends",
     "linkdock.service.config.EFFECTS": "the settings' words",
     "linkdock.service.config._KINDS": "types, for errors",
     "linkdock.wire.RESULTS": "codes of the wire's page",
