--- a/linkdock/lab/order_search_faults.py
+++ b/linkdock/lab/order_search_faults.py
@@ -12,6 +12,7 @@
 from ..sender.ends import Ends
 from ..sender.recovery import Recovery
 from ..sender.sender import Sender
+from ..service.shift import Shift
 from ..state.journal import Journal, Kept
 from .order_search_referee import Check
 
@@ -94,6 +95,10 @@
     return lambda self, *told: None
 
 
+def _no(method: Callable) -> Callable:
+    return lambda self, *told: False
+
+
 def _yes(method: Callable) -> Callable:
     return lambda self, *told: True
 
@@ -117,6 +122,12 @@
         Check.NOT_OVER,
         ((Sender, "held_elsewhere", _nothing),),
     ),
+    "start-not-seen": Fault(
+        "a process does not see before its next look that another has begun",
+        "pair-unmet",
+        Check.NOT_OVER,
+        ((Shift, "_folder_may_have_changed", _no),),
+    ),
     "restart-sorts-by-id": Fault(
         "a restart takes up what is on record by its ids",
         "pair-restart",
--- a/linkdock/lab/order_search_shape.py
+++ b/linkdock/lab/order_search_shape.py
@@ -56,6 +56,7 @@
         "_hold",
         "_batches",
         "_inode",
+        "_folder_changed_at",
         "_latest",
         "timer",
         "lot",
