--- a/linkdock/assignment/membership.py
+++ b/linkdock/assignment/membership.py
@@ -88,6 +88,11 @@
             inside.setdefault(member.zone, []).append(member)
         return tuple(Zone(told.zone, told.weight, inside[told.zone]) for told in self.zone_weights)
 
+    @cached_property
+    def zone_tables(self) -> dict[object, object]:
+        """What `placement.zone_table` has worked out of zones; the epochs that `changed` makes of this one share it."""
+        return {}
+
     @cached_property
     def digest(self) -> bytes:
         """Eight bytes that two processes compare to know that they mean the same by one epoch."""
@@ -131,7 +136,9 @@
         old = agreed.get(zone, 0)
         near = abs(actual - old) <= TOLERANCE * old
         weights[zone] = told.get(zone, old if near else actual)
-    return checked(Membership(before.epoch + 1, after, _as_zone_weights(weights), before.replicas))
+    following = checked(Membership(before.epoch + 1, after, _as_zone_weights(weights), before.replicas))
+    vars(following)["zone_tables"] = before.zone_tables
+    return following
 
 
 def _weights_of_zones(members: Iterable[Member]) -> dict[str, int]:
--- a/linkdock/assignment/placement.py
+++ b/linkdock/assignment/placement.py
@@ -9,7 +9,6 @@
 
 from collections import Counter
 from collections.abc import Iterator
-from functools import lru_cache
 from math import log
 from typing import NamedTuple
 
@@ -18,6 +17,7 @@
 
 PRIMARY = 0  # the role of a shard's first replica; the others follow in order
 SCAN_SLICE = 256  # shards between two pauses of a scan: some milliseconds
+MOST_ZONE_TABLES = 2  # of the epoch in force and the one before: most leave the zones as they were
 _SCALE = 1 / (1 << 64)
 
 
@@ -81,14 +81,16 @@
         return known
 
 
-_table = lru_cache(maxsize=2)(ZoneTable)  # of the epoch in force and the one before: most leave the zones as they were
-
-
 def zone_table(membership: Membership) -> ZoneTable:
     """The same object for two memberships whose zones are alike, whatever became of single members."""
     most = membership.replicas
     shapes = tuple(ZoneShape(zone.seed, zone.weight, min(len(zone.members), most)) for zone in membership.zones)
-    return _table(shapes, most)
+    tables, key = membership.zone_tables, (shapes, most)
+    if key not in tables:
+        if len(tables) >= MOST_ZONE_TABLES:
+            del tables[next(iter(tables))]
+        tables[key] = ZoneTable(shapes, most)
+    return tables[key]
 
 
 def zone_index(membership: Membership, member_id: str) -> int | None:
--- a/linkdock/lab/order_search.py
+++ b/linkdock/lab/order_search.py
@@ -26,6 +26,7 @@
 from pathlib import Path
 from random import Random
 
+from ..errors import LinkdockError
 from .order_search_faults import FAULTS
 from .order_search_finish import finish
 from .order_search_plans import PLANS, Bounds
@@ -63,9 +64,13 @@
     counterexamples: dict[tuple[Check, str], Counterexample] = field(default_factory=dict)
 
 
-class SearchLimitError(Exception):
+class SearchLimitError(LinkdockError):
     """A bound of the search is met, or the first counterexample where one is enough."""
 
+    code = "LD-LAB-LIMIT"
+    what = "a search of small cases met its bound of states or seconds"
+    remedy = "Nothing: what was searched until then is printed; give it more by --states and --seconds"
+
 
 class Search:
     """Over one plan's events, within so many states and seconds; `go_on` beyond the first counterexample."""
--- a/linkdock/lab/order_search_faults.py
+++ b/linkdock/lab/order_search_faults.py
@@ -126,7 +126,7 @@
         "a process does not see before its next look that another has begun",
         "pair-unmet",
         Check.NOT_OVER,
-        ((Shift, "_folder_may_have_changed", _no),),
+        ((Shift, "_numbers_changed", _no),),
     ),
     "restart-sorts-by-id": Fault(
         "a restart takes up what is on record by its ids",
--- a/linkdock/lab/order_search_program.py
+++ b/linkdock/lab/order_search_program.py
@@ -10,7 +10,6 @@
 
 import asyncio
 import logging
-import os
 import sys
 import time
 from collections.abc import Callable, Coroutine, Iterator
@@ -23,17 +22,16 @@
 
 from ..connections import pool
 from ..protocol.calls import Call
-from ..service import run, shift, switched
+from ..service import run, switched
 from ..service.config import Config, check
 from ..state.requests import Answer, Request, Taken
-from .order_search_stand_ins import FolderTimes, Front, NoWatch, ScriptedNotices, VirtualLoop
+from .order_search_stand_ins import Front, NoWatch, ScriptedNotices, VirtualLoop
 from .order_search_streams import MESSAGES, PROCESS, Observer, ScriptedStream
 
 CLASS = "billing"
 DESTINATION = 1
 SERVERS = ("s1", "s2")
 UNIX = 1_700_000_000.0  # Unix time where the world's clock says 0
-LONG_AFTER_NS = 1 << 80  # nanoseconds
 TICK = 0.005  # seconds
 SETTINGS = {
     "grades": [{"name": CLASS, "idempotency": "non_idempotent", "aim": 3.0, "hard-limit": 24.0, "keep-order": True}],
@@ -94,9 +92,7 @@
 @contextmanager
 def installed(loop: VirtualLoop, observer: Callable[[], Observer]) -> Iterator[None]:
     """Put the replacements in place. `observer` says who hears of connections just now."""
-    # The folder's time is a stand-in that is never coarse: what had changed is long ago by `time_ns`.
-    clock = SimpleNamespace(**{**vars(time), "time": lambda: UNIX + loop.now, "time_ns": lambda: LONG_AFTER_NS})
-    files = SimpleNamespace(**{**vars(os), "stat": FolderTimes().stat})
+    clock = SimpleNamespace(**{**vars(time), "time": lambda: UNIX + loop.now})
     stub = SimpleNamespace(SIGTERM=15, SIGHUP=1, SIGINT=2, SIG_IGN=1, signal=lambda *told: None)
     changes: list[tuple[object, str, object]] = [
         (run, "Frontend", Front),
@@ -105,7 +101,6 @@
         (run, "inherited", lambda number: None),
         (run, "bind_sockets", lambda *a, **k: []),
         (run, "signal", stub),
-        (shift, "os", files),
         (run, "switched_on", lambda name: None),
         (switched, "switched_on", lambda name: None),
         (Call, "run", _named(Call.run)),
--- a/linkdock/lab/order_search_referee.py
+++ b/linkdock/lab/order_search_referee.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from ..errors import LinkdockError
 from .order_search_streams import ScriptedStream, StreamState
 
 
@@ -27,9 +28,13 @@
     FAILED = "the program failed"
 
 
-class RuleBrokenError(Exception):
+class RuleBrokenError(LinkdockError):
     """A check failed. `kind` says in which kind of situation; two of one kind count as one find."""
 
+    code = "LD-LAB-ORDER"
+    what = "a rule about messages in order does not hold in a search"
+    remedy = "Play the events that the line names once more by --replay, and look at docs/design/order.md"
+
     def __init__(self, check: Check, text: str, kind: str = "") -> None:
         """`kind`: in which situation it failed."""
         super().__init__(f"{check.value}: {text}{kind and f' ({kind})'}")
--- a/linkdock/lab/order_search_shape.py
+++ b/linkdock/lab/order_search_shape.py
@@ -56,7 +56,6 @@
         "_hold",
         "_batches",
         "_inode",
-        "_folder_changed_at",
         "_latest",
         "timer",
         "lot",
--- a/linkdock/lab/order_search_stand_ins.py
+++ b/linkdock/lab/order_search_stand_ins.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-import os
 from collections.abc import Callable
-from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 
 
@@ -132,16 +129,3 @@
 
     def close(self) -> None:
         """Nothing is open."""
-
-
-class FolderTimes:
-    """`os.stat` of a folder, whose time of change depends on which files it has: on no clock, so that replays agree."""
-
-    def __init__(self) -> None:
-        """No folder has been looked at yet."""
-        self._times: dict[tuple[str, ...], int] = {}
-
-    def stat(self, folder: Path) -> SimpleNamespace:
-        """As far as a process asks for it. Raises OSError."""
-        listed = tuple(sorted(os.listdir(folder)))
-        return SimpleNamespace(st_mtime_ns=self._times.setdefault(listed, len(self._times)))
--- a/linkdock/lab/scale/members_mesh.py
+++ b/linkdock/lab/scale/members_mesh.py
@@ -13,6 +13,7 @@
 from ...cluster.interface import Heard, Post, Rumour, Standing
 from ...cluster.members.settings import MembersSettings
 from ...cluster.members.swim import Swim
+from ...errors import LinkdockError
 from ..virtual_members_world import Process, World
 from .measuring import DatagramCodec
 from .rows import Figure
@@ -27,9 +28,13 @@
 RESTARTED = 0.01  # share of the members
 
 
-class NotSettledError(Exception):
+class NotSettledError(LinkdockError):
     """What was waited for did not come about within PATIENCE."""
 
+    code = "LD-LAB-UNSETTLED"
+    what = "a scale run waited in vain for its members to agree"
+    remedy = "Take a smaller size; docs/CAPACITY.md says at which sizes this was met"
+
 
 class Mesh(World):
     """A standing fleet in ten zones whose members know one another."""
--- a/linkdock/lab/virtual_assignment_checks.py
+++ b/linkdock/lab/virtual_assignment_checks.py
@@ -59,12 +59,8 @@
 
 def check_incremental() -> str:
     """What a member works out from one epoch to the next is what it would work out from nothing."""
-    placement._table.cache_clear()
     with mock.patch.object(placement, "SHARD_COUNT", FEW_SHARDS), mock.patch.object(moves, "SHARD_COUNT", FEW_SHARDS):
-        try:
-            return _incremental()
-        finally:
-            placement._table.cache_clear()
+        return _incremental()
 
 
 def _incremental() -> str:
--- a/linkdock/lab/virtual_assignment_cost.py
+++ b/linkdock/lab/virtual_assignment_cost.py
@@ -75,7 +75,7 @@
     held: dict[int, int] = {}
     first, longest = float("inf"), float("inf")
     for _ in range(ROUNDS):
-        placement._table.cache_clear()
+        epoch.zone_tables.clear()
         steps, held = _stepped(placement.scan(me.id, epoch))
         first, longest = min(first, sum(steps)), min(longest, max(steps))
     after_near, after_far = (changed(epoch, Change(epoch.epoch, left=(one.id,))) for one in (near, far))
@@ -147,7 +147,6 @@
 def memory(epoch: Membership, rows: int) -> Memory:
     """Of a membership as it comes from the wire, with all that a sender keeps of it, and of so many rows."""
     data = _encode(epoch)
-    placement._table.cache_clear()
     tracemalloc.start()
     try:
         decoded = msgspec.msgpack.decode(data, type=Membership)
--- a/linkdock/lab/virtual_assignment_faults.py
+++ b/linkdock/lab/virtual_assignment_faults.py
@@ -241,14 +241,10 @@
 def planted(name: str) -> Iterator[Fault]:
     """The fault is there inside of the block."""
     fault = FAULTS[name]
-    placement._table.cache_clear()
     with ExitStack() as stack:
         for where, attribute, instead in fault.patches:
             stack.enter_context(mock.patch.object(where, attribute, instead))
-        try:
-            yield fault
-        finally:
-            placement._table.cache_clear()
+        yield fault
 
 
 def found(name: str) -> str:
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -17,9 +17,6 @@
 def few_shards(monkeypatch):
     for module in (hashing, placement, moves):
         monkeypatch.setattr(module, "SHARD_COUNT", SHARDS)
-    placement._table.cache_clear()
-    yield
-    placement._table.cache_clear()
 
 
 def members(count: int, zones: int = 5, weight: int = 100) -> list[Member]:
