--- a/linkdock/sender/sender.py
+++ b/linkdock/sender/sender.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-import time
 from collections.abc import Callable
 from contextlib import suppress
 from math import inf
@@ -25,28 +24,25 @@
     Server,
     Settled,
     Table,
-    Take,
     Withdraw,
 )
 from ..interface import Effect
 from ..protocol.backend import Backend
 from ..protocol.calls import Call
 from ..state.journal import Kept
-from ..state.requests import Answer, Busy, Failed, Refused, Request, Taken
+from ..state.requests import Refused, Request
 from ..state.roster import Roster
 from .context import SenderContext
-from .ends import WAITED, Ends
+from .ends import Ends
+from .intake import Intake
 from .recovery import Recovery
 
 if TYPE_CHECKING:
     from ..state.journal_reader import KeyChanges
-    from ..state.serving_mode import ServingMode
     from ..undeliverable.facts import Message
 
 log = logging.getLogger(__name__)
 
-NO_LIST = 1.0  # seconds after which to come again to a sender that has no list yet
-
 
 class Beside(Protocol):
     """What a sender tells the process that is another one of it, and leaves to it."""
@@ -59,18 +55,16 @@
 
 
 class Sender:
-    """The desk between fronts, decisions and calls. It owns the requests and runs the decisions' ticks."""
+    """Between fronts, decisions and calls: it owns the open requests and runs the decisions' ticks."""
 
     def __init__(self, context: SenderContext, spawn: Callable) -> None:
         self._context, self._spawn = context, spawn
         self._ends = Ends(context)
         self._recovery = Recovery(context, self._ends)
-        self._asking: dict[str, Request] = {}  # not answered yet
+        self.intake = Intake(context, self._ends)
         self._calls: dict[tuple[str, int], Call] = {}
         self._unsafe_until: float | None = None  # set while stopping
         self._left = 0  # requests left for the next life
-        self.spread: Callable[[float], float] | None = None  # of times to come back, where the gate is on
-        self.duty: ServingMode | None = None  # whether clients are taken, where there are operators
         self.beside: Beside | None = None  # where another process of this sender may live
         self.backend: Backend
 
@@ -79,79 +73,8 @@
     def ask(
         self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool, early: bool = False
     ) -> None:
-        """A front hands in a request, which is answered at the next tick at the latest.
-
-        `early`: it may have lain in the socket until this process had started, however late it is read.
-        """
-        if self._context.observer is None:
-            return self._ask(cls, destination, left, request, again, held, early)
-        self._context.observer.handed_in(request, cls, left, again, held)
-        try:
-            self._ask(cls, destination, left, request, again, held, early)
-        except Refused as why:
-            self._context.observer.refused(request.id, cls, destination, str(why))
-            raise
-
-    def _ask(
-        self, cls: str, destination: int, left: float, request: Request, again: bool, held: bool, early: bool
-    ) -> None:
-        if cls not in self._context.rules.classes:
-            raise Refused("unknown class")
-        unknown = not self._context.table.knows(destination)
-        if unknown and self._context.table.told:
-            raise Refused("unknown destination")
-        if request.tenant not in self._context.rules.tenants:
-            if request.tenant and self._context.rules.tenants:
-                raise Refused("unknown tenant")
-            request.tenant = ""  # nobody's, or of no interest here: nothing is kept of it
-        if left > 2 * self._context.rules.settings.classes[self._context.rules.classes[cls]].deadline:
-            raise Refused("d is beyond the deadline of its class")
-        if early:
-            # Danger: its time runs from when the client sent it, which may be as long ago as a client waits: it lay in
-            # the socket until this process had started. Told too late, its end counts as none.
-            left = max(0.0, left - WAITED)
-        known = self._context.requests.get(request.id)
-        if known is not None and known.answer is not None:
-            raise Refused("this id is being handed in already")
-        if known is not None or self._ends.remembered(request.id):
-            # The client came again over a new connection: what is owed is owed once. Danger: or another
-            # client uses the id, and its message would go out under it once the first is over.
-            self._say(request, Taken(known=True))
-            return
-        request.cls, request.until = self._context.rules.classes[cls], self._context.clock() + left
-        key = self._context.order_key(request)
-        if self._context.figures is not None:
-            self._context.figures.came += 1
-        if unknown:
-            # Danger: no list has come yet. Nobody can say that there is no such destination.
-            self._say(request, Busy(NO_LIST))
-            return
-        if self.duty is not None and self.duty.denies(self._context.clock()):
-            self._say(request, Busy(self.duty.again))
-            return
-        if self._context.requests.full():
-            self._say(request, self._no_room(destination))
-            return
-        self._context.requests.add(request)
-        self._asking[request.id] = request
-        self._context.facade.report(
-            Take(
-                request.id,
-                request.cls,
-                destination,
-                left,
-                key,
-                again,
-                held,
-                tenant=self._context.tenant(request.tenant),
-                taken_at=request.taken_at,
-            )
-        )
-
-    def _no_room(self, destination: int) -> Busy:
-        """Turned away for want of room here, whatever the destination could do."""
-        wait = self._context.facade.advice(destination)
-        return Busy(wait if self.spread is None else self.spread(wait))
+        """A front hands in a request (see `Intake.ask`). Raises Refused."""
+        self.intake.ask(cls, destination, left, request, again, held, early)
 
     def overloaded(self) -> bool:
         """Whether a message would be denied for want of room, whatever it is."""
@@ -217,7 +140,7 @@
     def hand_over(self) -> None:
         """Leave what waits to the process that takes clients. What has a call out is brought to its end here."""
         out = {request for request, _ in self._calls}
-        self._recovery.hand_over(lambda request: request in out or request in self._asking, self.beside.hand_over)
+        self._recovery.hand_over(lambda request: request in out or request in self.intake, self.beside.hand_over)
 
     def held_elsewhere(self, changes: KeyChanges) -> None:
         """What other processes of this sender hold of ordered keys, and what of that has ended."""
@@ -243,9 +166,7 @@
         orders = list(iter(self._context.facade.pick, None))
         finals = {order.request: order for order in orders if isinstance(order, Deny | Drop)}
         # Clients hear first: a dispatch counts only if its client knows that the request was taken.
-        asking, self._asking = self._asking, {}
-        for request in asking.values():
-            self._answer(request, finals.pop(request.id, None))
+        self.intake.answer(finals)
         for order in orders:
             match order:
                 case Dispatch():
@@ -268,50 +189,6 @@
                     if self.beside is not None and server:
                         self.beside.health(server, state)
 
-    def _say(self, request: Request, said: Answer) -> bool:
-        """Tell a client its one answer; whether it was still there."""
-        answer, request.answer = request.answer, None
-        heard = answer(said)
-        if self._context.figures is not None and not isinstance(said, Taken):
-            self._context.figures.over(request.cls, "throttled" if isinstance(said, Busy) else "faulted")
-        if self._context.observer is not None:
-            again = isinstance(said, Taken) and said.known
-            until = time.time() + request.until - self._context.clock()
-            self._context.observer.answered(request, said, heard, until, again)
-        return heard
-
-    def _answer(self, request: Request, final: Deny | Drop | None) -> None:
-        """Answer a client, on record first. What is not taken on is forgotten."""
-        if final is not None:
-            self._context.requests.remove(request.id)
-            self._context.facade.report(Settled(request.id))
-            self._say(request, Busy(final.wait) if isinstance(final, Deny) else Failed("not delivered"))
-            return
-        left = request.until - self._context.clock()
-        kept = Kept(
-            request.id,
-            request.key,
-            self._context.rules.class_names[request.cls],
-            request.destination,
-            time.time() + left,
-            request.body,
-            idempotency_key=request.idempotency_key,
-            tenant=request.tenant,
-            taken_at=request.taken_at,
-        )
-        if not self._context.journal.take(kept):
-            self._context.requests.remove(request.id)
-            self._context.facade.report(Withdraw(request.id))
-            self._context.facade.report(Settled(request.id))
-            self._say(request, self._no_room(request.destination))
-        elif not self._say(request, Taken()):
-            # Its client left unanswered and may hand it in again: nothing is owed, and nothing may be sent.
-            if self._context.figures is not None:
-                self._context.figures.over(request.cls, "throttled")
-            self._context.journal.end(request.id)
-            self._context.requests.remove(request.id)
-            self._context.facade.report(Withdraw(request.id))
-
     def _dispatch(self, order: Dispatch, now: float) -> None:
         items, requests = [], []
         for item in order.items:
@@ -432,7 +309,7 @@
 
     def open(self) -> int:
         """Messages that were taken on and have not ended, those left for the next life among them."""
-        return len(self._context.requests) - len(self._asking) + self._left
+        return len(self._context.requests) - len(self.intake) + self._left
 
     def stop_unsafe(self, at: float) -> None:
         """From then on start nothing that may not be repeated."""
--- a/linkdock/service/operations.py
+++ b/linkdock/service/operations.py
@@ -45,7 +45,7 @@
         """Counts begin here, before what an earlier life left is taken up."""
         self._sender = sender
         context.figures = sender.backend.figures = self.figures
-        sender.duty = self.serving_mode
+        sender.intake.serving_mode = self.serving_mode
 
     def open(self, frontend: Frontend, wheel: Wheel, spawn: Callable) -> None:
         """Clients are taken from now on, and operators are answered. Raises OSError."""
--- a/linkdock/service/run.py
+++ b/linkdock/service/run.py
@@ -170,7 +170,7 @@
         self._blind_until = self._due if config.paid_news else self._due + FIRST_NEWS
         self.frontend.observer = self._observer
         if self._clients is not None:
-            self.sender.spread = lambda wait: gate.spread(self._wheel.now, wait)
+            self.sender.intake.spread = lambda wait: gate.spread(self._wheel.now, wait)
             self._clients.watch(lambda: (len(self.frontend), len(self._pool)), self._parts)
         if self._observer is not None:
             self._observer.ready(self.frontend.port)
