--- a/linkdock/lab/processes/fleet.py
+++ b/linkdock/lab/processes/fleet.py
@@ -44,6 +44,7 @@
         super().__init__(agent, deploy or {}, {}, told, root)
         self.name, self.lives, self.process = name, 0, None
         self.extra: dict[str, str] = {}  # of the environment of the next life
+        self.inherited: tuple[int, ...] = ()  # descriptors that each life inherits
         config = json.loads((self.path / "config.json").read_text())
         config |= {"name": name, "admin_addr": "127.0.0.1:0"}
         (self.path / "config.json").write_text(json.dumps(config))
@@ -83,9 +84,14 @@
             cwd=self._root,
             start_new_session=True,
             preexec_fn=_die_with_parent,
+            pass_fds=self.inherited,
             **pipes,
         )
 
+    def run_from(self, root: str | None) -> None:
+        """Run the next life from another tree of the program; None names this one."""
+        self._root = Path(root) if root else ROOT
+
     def signal(self, number: int) -> None:
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
--- a/linkdock/lab/rig.py
+++ b/linkdock/lab/rig.py
@@ -194,12 +194,16 @@
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
         self._port, self._host, self._free = port, host, []
 
-    async def enqueue(self, name: str, cls: str, seconds: float, destination: int) -> str:
+    async def enqueue(
+        self, name: str, cls: str, seconds: float, destination: int, key: str = "0" * 16, **named: str
+    ) -> str:
+        """Hand in one message and return the answer's line, or "" for none; `named` adds to its list of values."""
+        values = {"c": cls, "d": int(seconds * 1000), "dest": destination, **named}
         words = [
             b"ENQUEUE",
-            b"0" * 16,
+            key.encode(),
             name.encode(),
-            f"c={cls},d={int(seconds * 1000)},dest={destination}".encode(),
+            ",".join(f"{word}={value}" for word, value in values.items()).encode(),
             b"x" * 64,
         ]
         data = b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words)
