--- a/linkdock/lab/versions/cluster.py
+++ b/linkdock/lab/versions/cluster.py
@@ -8,6 +8,7 @@
 from ..processes.history import History
 from ..processes.play import Fleet, running
 from ..processes.stories import FIRST, RATE, TTL, WITHIN, StoryFailedError, begun, must
+from .peers import VersionsError, until
 
 SIZE = 3  # processes, all of them voters
 SETTLE = 1.0  # seconds of load with each mixture of versions
@@ -28,6 +29,15 @@
         must(await fleet.committed(FIRST, f"{change}-{name}") is not None, f"no commit once {name} has changed")
 
 
+def open_proposals(history: History) -> set[str]:
+    """The proposals that the harness made and that have no answer yet."""
+    made: dict[str, set[str]] = {"asked": set(), "answered": set()}
+    for one in history.events:
+        if one["event"] in made:
+            made[one["event"]].add(one["op"])
+    return made["asked"] - made["answered"]
+
+
 async def _play(first: str | None, second: str | None, history: History) -> None:
     roots = {} if first is None else {f"{zone}1": first for zone in "abc"}
     async with asyncio.timeout(LONGEST), Fleet(history, SIZE, SEED, roots=roots) as fleet:
@@ -37,6 +47,8 @@
             await asyncio.sleep(SETTLE)
             await _change(fleet, second, "there")
             await _change(fleet, first, "back")
+        # The end is judged by what each process holds then: what is acknowledged later would be missed in it.
+        await until(lambda: not open_proposals(history), WITHIN, "every proposal has its answer")
         await fleet.make_good()
         must(await fleet.committed(WITHIN, "last") is not None, "no commit at the end")
         await fleet.rest()
@@ -49,7 +61,7 @@
     found = []
     try:
         await _play(first, second, history)
-    except (StoryFailedError, TimeoutError) as wrong:
+    except (StoryFailedError, VersionsError, TimeoutError) as wrong:
         found.append(f"{type(wrong).__name__}: {wrong}")
     found += judge(history.events, WITHIN)
     found += [f"{one['who']}: the node has given up: {one}" for one in history.events if one["event"] == "failed"]
--- a/linkdock/lab/versions/folder.py
+++ b/linkdock/lab/versions/folder.py
@@ -25,6 +25,8 @@
     hand_in,
     list_row,
     operate,
+    problems,
+    ready,
     site_settings,
     until,
 )
@@ -55,7 +57,6 @@
 FIRST, NOTICE, DELIVERY, WRITTEN = 10.0, 4.0, 12.0, 5.0  # seconds within which each of these has to come
 LONGEST = 120.0  # seconds of a play
 RECORDS_DELAY = 0.5  # seconds: records are written on later turns of the sender's loop
-PROBLEMS = (" WARNING ", " ERROR ", " CRITICAL ", "Traceback")
 
 
 def named(member: int, first: int, orders: list[tuple[str, float]], **more: str) -> list[Order]:
@@ -143,7 +144,7 @@
         members.members[SILENT].hang()
         await sender.start()
         client = rig.Client(sender.port)
-        await self._listed()
+        await ready(sender.operators, MEMBERS)
         await hand_in(client, DELIVERED)
         await until(lambda: all(map(self._called, DELIVERED)), FIRST, "messages for m0 are delivered")
         await hand_in(client, KEPT)
@@ -167,15 +168,6 @@
         self._check(set(FILES) <= self._names, f"the writer left {sorted(self._names)}, without some of {FILES}")
         self._check(not any(map(self._called, UNTRIED)), "the writer called an endpoint that was out by hand")
 
-    async def _listed(self) -> None:
-        """Wait until the sender has discovery's list. A message is refused before."""
-        series = "edge_relay_registry_entries"
-        for _ in range(500):
-            if (await figures(self._sender.operators)).get(series) == MEMBERS:
-                return
-            await asyncio.sleep(0.02)
-        raise VersionsError(f"{series} does not come to {MEMBERS}")
-
     async def _written(self) -> None:
         """Wait until each part that writes now and then has written all that was learned so far."""
         seen = {name: self._changed(name) for name in ("learned", "connections.json", "clients.json")}
@@ -219,7 +211,7 @@
         agent.confirms = True
         sender.run_from(self._reader)
         await sender.start()
-        await self._listed()
+        await ready(sender.operators, MEMBERS)
         await self._ends(DOUBTFUL, "may have run, and has no notice")
         await self._ends(UNCONFIRMED, "was owed a notice, and has none")
         told = await figures(sender.operators)
@@ -284,11 +276,7 @@
 
     def _check_log(self) -> None:
         """The reader finds nothing wrong with the folder."""
-        self.findings += [
-            f"the reader's log: {line}"
-            for line in self._sender.text().splitlines()
-            if any(word in line for word in PROBLEMS)
-        ]
+        self.findings += [f"the reader's log: {line}" for line in problems(self._sender.text())]
 
     async def _audit(self) -> None:
         """The records of both lives are one record without a fault."""
--- a/linkdock/lab/versions/peers.py
+++ b/linkdock/lab/versions/peers.py
@@ -19,6 +19,8 @@
 COMMAND_TIMEOUT = 60.0  # seconds for one run of the command `linkdock`
 CALL_TIMEOUT = 5.0  # seconds for one operators' call
 POLL_INTERVAL = 0.02  # seconds between two looks at a condition
+READY_TIMEOUT = 15.0  # seconds from a start until a sender has its list
+PROBLEMS = (" WARNING ", " ERROR ", " CRITICAL ", "Traceback")
 CLASSES = [
     {"name": "preview", "idempotency": "read_like", "aim": 0.8, "hard-limit": 40.0, "late-share": 0.1},
     {"name": "order", "idempotency": "non_idempotent", "aim": 4.0, "hard-limit": 40.0, "importance": 2.0},
@@ -169,6 +171,22 @@
     return {name: int(value) for name, _, value in (line.rpartition(" ") for line in lines if line != ".")}
 
 
+async def ready(port: int, endpoints: int) -> None:
+    """Wait until a sender takes clients and has all of discovery's list. Raises VersionsError if it does not."""
+    end = time.monotonic() + READY_TIMEOUT
+    while time.monotonic() < end:
+        entries = (await figures(port)).get("edge_relay_registry_entries")
+        if entries == endpoints and await operate(port, "status") == "+OK taking clients\n":
+            return
+        await asyncio.sleep(POLL_INTERVAL)
+    raise VersionsError(f"no sender that takes clients with edge_relay_registry_entries {endpoints}")
+
+
+def problems(log: str) -> list[str]:
+    """The lines of a sender's log that say that something is wrong."""
+    return [line for line in log.splitlines() if any(word in line for word in PROBLEMS)]
+
+
 async def command(root: str | None, *words: str) -> str:
     """What the command `linkdock` of a tree prints. Raises VersionsError if it fails other than by a found fault."""
     process = await asyncio.create_subprocess_exec(
--- a/linkdock/lab/versions/upgrade.py
+++ b/linkdock/lab/versions/upgrade.py
@@ -24,6 +24,8 @@
     hand_in,
     list_row,
     operate,
+    problems,
+    ready,
     site_settings,
     until,
 )
@@ -38,9 +40,7 @@
 TOGETHER = 1.5  # seconds of traffic with both processes, before one is told to end
 LEARNED, FOLLOWED, ENDED = 8.0, 4.0, 16.0  # seconds within which each of these has to come
 LONGEST = 120.0  # seconds of a play
-PROBLEMS = (" WARNING ", " ERROR ", " CRITICAL ", "Traceback")
 CLASSES = ("order", "sequence", "preview", "sequence")
-TAKING_CLIENTS = "+OK taking clients\n"
 
 
 class UpgradePlay:
@@ -104,26 +104,15 @@
         child.extra = {"RELAY_ACCEPT_FD": str(descriptor), "RELAY_STATE": str(self._state)}
         child.inherited = (descriptor,)
         await child.start()
-        for _ in range(500):
-            entries = (await figures(child.operators)).get("edge_relay_registry_entries")
-            if entries == MEMBERS and await operate(child.operators, "status") == TAKING_CLIENTS:
-                return child
-            await asyncio.sleep(0.02)
-        raise VersionsError(f"process {number + 1} does not take clients with {MEMBERS} endpoints listed")
+        await ready(child.operators, MEMBERS)
+        return child
 
     async def _replace(self) -> None:
         """Start the next process beside the present one, and end that once they know of each other."""
-        old = self._children[-1]
-        asked = len(self._members.members[ASKS_TO_WAIT].waits)
-        self._members.members[ASKS_TO_WAIT].refuse(WAIT)
-        await until(
-            lambda: len(self._members.members[ASKS_TO_WAIT].waits) > asked, FOLLOWED, "m1 is called and asks for a wait"
-        )
-        self._members.members[ASKS_TO_WAIT].answer()
+        old, number = self._children[-1], len(self._children)
+        await self._ask_to_wait()
         new = await self._begin()
-        number = len(self._children) - 1
-        learned = self._state / f"learned.{number}"
-        await until(learned.exists, LEARNED, f"process {number} leaves what it has learned")
+        await until((self._state / f"learned.{number}").exists, LEARNED, f"process {number} leaves what it has learned")
         self._check_files(number)
         await self._out_by_hand(old, new)
         held = await self._hold_back()
@@ -131,9 +120,21 @@
         old.signal(signal.SIGTERM)
         self._check(await old.ended() == 0, f"the end of process {number} was not orderly")
         self._check(not any(self._members.came[one.name] for one in held), "an endpoint out by hand was called")
-        answer = await operate(new.operators, f"maint-off m{OUT_BY_HAND}")
+        await self._back_by_hand(new, held)
+
+    async def _ask_to_wait(self) -> None:
+        """Have m1 ask the present process for one wait, which the next one has to keep as well."""
+        member = self._members.members[ASKS_TO_WAIT]
+        asked = len(member.waits)
+        member.refuse(WAIT)
+        await until(lambda: len(member.waits) > asked, FOLLOWED, "m1 is called and asks for a wait")
+        member.answer()
+
+    async def _back_by_hand(self, child: Child, held: list[Order]) -> None:
+        """Put back the endpoint that is out; what was held for it goes out. What is missing is found at the end."""
+        answer = await operate(child.operators, f"maint-off m{OUT_BY_HAND}")
         self._check(answer.startswith("+OK"), f"maint-off was answered {answer!r}")
-        with contextlib.suppress(VersionsError):  # what is missing is found at the end
+        with contextlib.suppress(VersionsError):
             await until(lambda: all(self._members.came[one.name] for one in held), ENDED, "held messages go out")
 
     def _check_files(self, number: int) -> None:
@@ -219,8 +220,7 @@
         self._judge_keys()
         self._judge_waits()
         for number, child in enumerate(self._children, 1):
-            lines = [line for line in child.text().splitlines() if any(word in line for word in PROBLEMS)]
-            self.findings += [f"the log of process {number}: {line}" for line in lines]
+            self.findings += [f"the log of process {number}: {line}" for line in problems(child.text())]
 
     def _judge_keys(self) -> None:
         times = self._members.times
