--- a/linkdock/lab/versions/cluster.py
+++ b/linkdock/lab/versions/cluster.py
@@ -6,7 +6,7 @@
 
 from ..processes.checks import judge
 from ..processes.history import History
-from ..processes.play import Fleet, running
+from ..processes.play import Fleet, running, zones_of
 from ..processes.stories import FIRST, RATE, TTL, WITHIN, StoryFailedError, begun, must
 from .peers import VersionsError, until
 
@@ -39,7 +39,7 @@
 
 
 async def _play(first: str | None, second: str | None, history: History) -> None:
-    roots = {} if first is None else {f"{zone}1": first for zone in "abc"}
+    roots = {} if first is None else dict.fromkeys(zones_of(SIZE), first)
     async with asyncio.timeout(LONGEST), Fleet(history, SIZE, SEED, roots=roots) as fleet:
         await begun(fleet)
         await fleet.work(ttl=TTL)
--- a/linkdock/lab/versions/folder.py
+++ b/linkdock/lab/versions/folder.py
@@ -10,11 +10,12 @@
 import asyncio
 import json
 import shutil
+import signal
 from pathlib import Path
 
 from .. import rig
 from ..outage import shut_port
-from ..processes.fleet import Child
+from ..processes.fleet import ROOT, Child
 from .peers import (
     Order,
     RecordingAgent,
@@ -65,6 +66,7 @@
 
 
 DELIVERED = named(ANSWERS, 1, [("preview", LONG), ("order", LONG), ("keyed", LONG), ("sequence", LONG)] * 2)
+NEW = named(ANSWERS, 21, [("preview", LONG), ("order", LONG)])
 KEPT = named(SHUT, 1, [("preview", SHORT), ("order", SHORT)] * 2)
 UNCONFIRMED = named(SHUT, 11, [("order", SHORT)])
 DOUBTFUL = named(SILENT, 1, [("order", LONG)] * 2) + named(SILENT, 11, [("keyed", LONG)], idempotency_key="5c0f6e1a")
@@ -110,7 +112,7 @@
 
     def _deployed(self) -> dict[str, dict]:
         """The writer's own files under deploy/, switched on."""
-        folder = (Path(self._writer) if self._writer else Path(__file__).resolve().parents[3]) / "deploy"
+        folder = (Path(self._writer) if self._writer else ROOT) / "deploy"
         return {
             name: {**json.loads((folder / f"{name}.json").read_text()), "on": True, **more}
             for name, more in DEPLOYED.items()
@@ -162,7 +164,7 @@
         self._series = set(await figures(sender.operators))
         await asyncio.sleep(RECORDS_DELAY)
         client.close()
-        sender.signal(9)
+        sender.signal(signal.SIGKILL)
         await sender.ended()
         self._names = {path.name for path in self._state.iterdir()}
         self._check(set(FILES) <= self._names, f"the writer left {sorted(self._names)}, without some of {FILES}")
@@ -218,6 +220,7 @@
         self._check(set(told) == self._series, f"other figures: {sorted(set(told) ^ self._series)}")
         self._check(told.get("edge_relay_out_of_rotation") == 1, "the endpoint that is out by hand is not out")
         self._check(not any(map(self._called, UNTRIED)), "an endpoint that is out by hand was called")
+        await self._take_new_work()
         answer = await operate(sender.operators, f"maint-off m{OUT_BY_HAND}")
         self._check(answer.startswith("+OK"), f"maint-off was answered {answer!r}")
         await self._delivered(UNTRIED)
@@ -230,6 +233,15 @@
         self._check_files(written)
         self._check_log()
 
+    async def _take_new_work(self) -> None:
+        """The reader delivers what comes now: its decisions have seen the list, and what they restored."""
+        client = rig.Client(self._sender.port)
+        try:
+            await hand_in(client, NEW)
+        finally:
+            client.close()
+        await self._delivered(NEW)
+
     async def _ends(self, orders: list[Order], finding: str) -> None:
         """Each of these ends by a notice at once."""
         notices = self._agent.notices
--- a/linkdock/lab/versions/peers.py
+++ b/linkdock/lab/versions/peers.py
@@ -9,12 +9,12 @@
 import time
 from collections import defaultdict
 from collections.abc import Callable
-from pathlib import Path
 from typing import NamedTuple
 
 from ...errors import LinkdockError
 from .. import rig
 from ..members import FULL, OK, SILENT, Reply
+from ..processes.fleet import ROOT
 
 COMMAND_TIMEOUT = 60.0  # seconds for one run of the command `linkdock`
 CALL_TIMEOUT = 5.0  # seconds for one operators' call
@@ -194,7 +194,7 @@
         "-m",
         "linkdock.console",
         *words,
-        cwd=root or Path(__file__).resolve().parents[3],
+        cwd=root or ROOT,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     )
--- a/linkdock/lab/versions/upgrade.py
+++ b/linkdock/lab/versions/upgrade.py
@@ -176,9 +176,8 @@
 
     async def _hand_in(self, client: rig.Client, order: Order) -> None:
         """As clients do: what crosses the close of its connection is sent once more, on a new one."""
-        answer = ""
-        for _ in range(3):
-            answer = answer or await client.enqueue(order.name, order.cls, order.seconds, order.member, order.key)
+        words = (order.name, order.cls, order.seconds, order.member, order.key)
+        answer = await client.enqueue(*words) or await client.enqueue(*words)
         if answer.startswith("+OK"):
             self._taken.append(order)
         elif not answer.startswith("-BUSY"):
--- a/tests/test_dormancy.py
+++ b/tests/test_dormancy.py
@@ -13,9 +13,10 @@
 from linkdock.dormancy import settings as shape
 from linkdock.dormancy import snapshot as s
 from linkdock.dormancy.sleeper import Sleeper
-from linkdock.facade import Server
+from linkdock.facade import Dispatch, Facade, Server, Table, Take
 from linkdock.options import FOLDER, OptionError, switched_on
 from linkdock.state.roster import Roster
+from linkdock.state.table import ServerTable
 
 AFTER = 60.0
 
@@ -360,3 +361,21 @@
     assert switched_on("dormancy", {}) is None
     shape.read((FOLDER / "dormancy.json").read_bytes(), 3_000_000)
     assert json.loads((FOLDER / "schema" / "dormancy.json").read_text()) == shape.schema()
+
+
+def test_a_message_that_is_restored_before_the_first_list_goes_out_once_the_list_is_in():
+    """Both are reported before one decision pass: the message wakes its destination, whose endpoint stays listed."""
+    now = [100.0]
+    table = ServerTable([False], lambda: now[0])
+    facade = Facade(settings(), 1, Sleeper(lambda: table.roster, 2, AFTER, 100, table.shown))
+    facade.report(Take("aa01", cls=1, destination=1, left=16.0))
+    listed = [Server("m1", ("127.0.0.1", 80), 1)]
+    table.update(listed, 1)
+    facade.report(Table("whole", table.shown(listed), 1))
+    orders = []
+    for _ in range(300):  # 15 s, within the message's time
+        now[0] += 0.05
+        facade.tick(now[0])
+        while (order := facade.pick()) is not None:
+            orders.append(order)
+    assert [order.server for order in orders if isinstance(order, Dispatch)][:1] == ["m1"]
